--- a/crates/jaypin_entry/src/peers/wire/mod.rs
+++ b/crates/jaypin_entry/src/peers/wire/mod.rs
@@ -165,7 +165,7 @@
             view.digest,
             view.era,
         );
-        let strikes = whole.strikes.iter();
+        let strikes = whole.crash_counts.iter();
         let callers = whole.cell_callers.as_ref();
         Self(
             sender,
@@ -252,7 +252,7 @@
                 .into_iter()
                 .map(read_rollout)
                 .collect::<Result<_, _>>()?,
-            strikes: strikes
+            crash_counts: strikes
                 .map(|(fingerprint, strikes)| Strike {
                     fingerprint,
                     crash_count: strikes,
@@ -298,7 +298,13 @@
 }
 
 fn wire_samples(it: &BackendSamples) -> WireSamples {
-    let sums = [it.tokens, it.seconds, it.held, it.events, it.event_seconds];
+    let sums = [
+        it.tokens,
+        it.seconds,
+        it.hold_seconds,
+        it.events,
+        it.event_seconds,
+    ];
     (it.key, sums, it.good, it.bad)
 }
 
@@ -341,7 +347,7 @@
         key,
         tokens,
         seconds,
-        held,
+        hold_seconds: held,
         events,
         event_seconds,
         good,
--- a/crates/jaypin_entry/tests/report_bytes.rs
+++ b/crates/jaypin_entry/tests/report_bytes.rs
@@ -41,7 +41,7 @@
             key: 5,
             tokens: 6_610.0,
             seconds: 0.108,
-            held: 1.25,
+            hold_seconds: 1.25,
             events: 40.0,
             event_seconds: 0.95,
             good: 2,
@@ -96,7 +96,7 @@
             },
             requests: 88,
         }],
-        strikes: vec![Strike {
+        crash_counts: vec![Strike {
             fingerprint: 99,
             crash_count: 2,
         }],
@@ -164,7 +164,7 @@
         |it| it.usage[0].1 = -1.0,
         |it| it.whole.as_mut().expect("whole").low_levels[0].1 = f64::NEG_INFINITY,
         |it| it.samples[0].seconds = f64::INFINITY,
-        |it| it.samples[0].held = -0.5,
+        |it| it.samples[0].hold_seconds = -0.5,
         |it| it.samples[0].event_seconds = f64::NAN,
     ];
     for spoil in spoilt {
--- a/crates/jaypin_router/src/account_asked.rs
+++ b/crates/jaypin_router/src/account_asked.rs
@@ -32,7 +32,7 @@
 
 impl AccountArrivals {
     /// Counts a request, whether it is served or refused.
-    pub fn saw(&mut self, account: &AccountId, route: RouteRank, units: f64, now: Instant) {
+    pub fn record(&mut self, account: &AccountId, route: RouteRank, units: f64, now: Instant) {
         let of_account = self.rates.entry(account.clone()).or_default();
         let rate = of_account
             .entry(route)
--- a/crates/jaypin_router/src/asked.rs
+++ b/crates/jaypin_router/src/asked.rs
@@ -32,7 +32,7 @@
 
 impl ArrivalRates {
     /// Counts a request of this host, whether it is served or refused.
-    pub fn saw(&mut self, service: ServiceKey, rank: Rank, now: Instant) {
+    pub fn record(&mut self, service: ServiceKey, rank: Rank, now: Instant) {
         *self.own.entry((service, rank)).or_default() += 1;
         self.count(service, rank, 1, now);
     }
--- a/crates/jaypin_router/src/backend.rs
+++ b/crates/jaypin_router/src/backend.rs
@@ -68,7 +68,7 @@
     /// Its key in reports.
     pub key: BackendKey,
     /// How fast it reads prompts.
-    pub pace: PrefillRate,
+    pub prefill_rate: PrefillRate,
     /// How fast it makes events.
     pub event_rate: EventRate,
     /// What peers have running there.
@@ -141,7 +141,7 @@
         Self {
             record,
             key,
-            pace: PrefillRate::default(),
+            prefill_rate: PrefillRate::default(),
             event_rate: EventRate::default(),
             peers: PeersThere::default(),
             calls: BTreeMap::new(),
@@ -168,12 +168,12 @@
     #[must_use]
     pub fn unread_tokens(&self, now: Instant) -> u32 {
         let own = self.own_load().unread_tokens;
-        own.saturating_add(self.peers.unread_tokens(self.pace, now))
+        own.saturating_add(self.peers.unread_tokens(self.prefill_rate, now))
     }
 
     /// Takes what peers have running there now, and the prompt tokens of what they began.
     pub fn set_peer_load(&mut self, load: BackendLoad, begun_tokens: u32, now: Instant) {
-        self.peers.take(load, begun_tokens, self.pace, now);
+        self.peers.take(load, begun_tokens, self.prefill_rate, now);
     }
 
     /// What this host has running there.
@@ -230,14 +230,20 @@
 
     /// Mean time that requests hold their slots there.
     #[must_use]
-    pub fn residence(&self) -> Option<Duration> {
+    pub fn hold_time(&self) -> Option<Duration> {
         self.residence
     }
 
     // ------------------------------------------------------------------ calls
 
     /// Counts a call that is sent, with the time that its first event should take.
-    pub fn sent(&mut self, number: RequestNumber, tokens: u32, estimate: Duration, now: Instant) {
+    pub fn record_sent(
+        &mut self,
+        number: RequestNumber,
+        tokens: u32,
+        estimate: Duration,
+        now: Instant,
+    ) {
         let overdue_at = now + estimate.mul_f64(OVERDUE.0) + OVERDUE.1;
         let call = Call {
             tokens,
@@ -251,7 +257,7 @@
     }
 
     /// Notes the first event of a call.
-    pub fn answered(&mut self, number: RequestNumber) {
+    pub fn record_first_event(&mut self, number: RequestNumber) {
         if let Some(call) = self.calls.get_mut(&number) {
             call.overdue_at = None;
         }
@@ -259,26 +265,26 @@
 
     /// Learns how long the prefill of so many tokens took.
     pub fn record_prefill(&mut self, tokens: f64, seconds: f64) {
-        self.pace.saw(tokens, seconds);
+        self.prefill_rate.record(tokens, seconds);
         self.totals.tokens += tokens;
         self.totals.seconds += seconds;
     }
 
     /// Learns how long so many events of a stream took.
     pub fn record_events(&mut self, events: f64, seconds: f64) {
-        self.event_rate.saw(events, seconds);
+        self.event_rate.record(events, seconds);
         self.totals.events += events;
         self.totals.event_seconds += seconds;
     }
 
     /// Counts the end of a call.
-    pub fn ended(&mut self, number: RequestNumber, outcome: AttemptOutcome, now: Instant) {
+    pub fn record_end(&mut self, number: RequestNumber, outcome: AttemptOutcome, now: Instant) {
         let call = self.calls.remove(&number);
         match outcome {
             AttemptOutcome::Complete => {
                 let held = call.map_or(Duration::ZERO, |call| now - call.sent_at);
                 self.learn_residence(held);
-                self.totals.held += held.as_secs_f64();
+                self.totals.hold_seconds += held.as_secs_f64();
                 self.totals.good += 1;
                 self.rests = 0;
                 self.learn_outcome(false, now);
@@ -302,13 +308,14 @@
     /// Takes what a peer learned.
     pub fn record_peer_samples(&mut self, samples: &BackendSamples, now: Instant) {
         if samples.tokens > 0.0 {
-            self.pace.saw(samples.tokens, samples.seconds);
+            self.prefill_rate.record(samples.tokens, samples.seconds);
         }
         if samples.events > 0.0 {
-            self.event_rate.saw(samples.events, samples.event_seconds);
+            self.event_rate
+                .record(samples.events, samples.event_seconds);
         }
         if samples.good > 0 {
-            let mean = samples.held / f64::from(samples.good);
+            let mean = samples.hold_seconds / f64::from(samples.good);
             self.learn_residence(Duration::from_secs_f64(mean));
         }
         for _ in 0..samples.good {
--- a/crates/jaypin_router/src/entries.rs
+++ b/crates/jaypin_router/src/entries.rs
@@ -95,7 +95,7 @@
     ///
     /// Guards against an older state that is told after a newer one, by another watcher or
     /// a late datagram: a backend server that leaves would be taken for ready again.
-    pub fn take(&mut self, change: &EntryChange) -> bool {
+    pub fn apply(&mut self, change: &EntryChange) -> bool {
         let id = change.id();
         let newest = self.points.get(id).copied();
         if newest.is_some_and(|newest| change.point() <= newest) {
@@ -131,7 +131,7 @@
     }
 
     /// Keeps a change to be told.
-    pub fn tell(&mut self, change: EntryChange) {
+    pub fn queue(&mut self, change: EntryChange) {
         self.news.retain(|(known, _)| known.id() != change.id());
         self.news.push_front((change, 0));
     }
--- a/crates/jaypin_router/src/event_pace.rs
+++ b/crates/jaypin_router/src/event_pace.rs
@@ -24,7 +24,7 @@
 
 impl EventRate {
     /// Learns that so many events came in so long.
-    pub fn saw(&mut self, events: f64, seconds: f64) {
+    pub fn record(&mut self, events: f64, seconds: f64) {
         let expected = self.seconds_for(events);
         let has_slowed = expected.is_some_and(|it| seconds >= it * SLOWED);
         let keep = if has_slowed {
--- a/crates/jaypin_router/src/fleet.rs
+++ b/crates/jaypin_router/src/fleet.rs
@@ -108,7 +108,7 @@
 impl Fleet {
     /// Takes a report; one that was overtaken by a later one tells nothing, and neither
     /// does a short one from a host of which no whole one was heard.
-    pub fn take(&mut self, report: Report, now: Instant, boot_time: BootTime) -> News {
+    pub fn apply(&mut self, report: Report, now: Instant, boot_time: BootTime) -> News {
         let Some(whole) = &report.whole else {
             let known = self.runs.get(&report.run);
             let peer = known.and_then(|host| self.peers.get_mut(host));
@@ -121,7 +121,7 @@
             };
             self.other_cells.insert(whole.cell, other);
             return News {
-                strikes: whole.strikes.clone(),
+                strikes: whole.crash_counts.clone(),
                 ..News::default()
             };
         }
@@ -140,12 +140,12 @@
         let Some(peer) = self.peers.get_mut(&host) else {
             return News::default();
         };
-        peer.clock.saw(whole.sent_at, boot_time);
+        peer.clock.record(whole.sent_at, boot_time);
         peer.take(report, is_new, now)
     }
 
     /// Peers that were heard lately.
-    pub fn heard(&self, now: Instant) -> impl Iterator<Item = (&HostId, &Peer)> {
+    pub fn live_peers(&self, now: Instant) -> impl Iterator<Item = (&HostId, &Peer)> {
         self.peers.iter().filter(move |(_, peer)| peer.is_live(now))
     }
 
@@ -179,7 +179,7 @@
     /// host that has just started hears nobody, and is not the whole fleet.
     #[must_use]
     pub fn live_fraction<'a>(&self, found: impl Iterator<Item = &'a HostId>, now: Instant) -> f64 {
-        let heard = 1.0 + number_of(self.heard(now));
+        let heard = 1.0 + number_of(self.live_peers(now));
         let silent = self.peers.values().filter(|it| it.may_be_cut_off(now));
         let unheard = found.filter(|host| !self.peers.contains_key(*host));
         heard / (heard + number_of(silent) + number_of(unheard))
@@ -188,7 +188,7 @@
     /// Hosts that take part, this one included.
     #[must_use]
     pub fn size(&self, now: Instant) -> usize {
-        self.heard(now).count() + 1
+        self.live_peers(now).count() + 1
     }
 
     /// Drops peers that were silent for long.
@@ -240,7 +240,7 @@
             self.may_watch = whole.store.may_watch;
             self.version = whole.store.version;
             self.digest = whole.store.digest;
-            news.strikes = whole.strikes;
+            news.strikes = whole.crash_counts;
             news.low_levels = whole.low_levels;
             for asked in whole.asked {
                 let key = (asked.service, asked.rank);
--- a/crates/jaypin_router/src/floor.rs
+++ b/crates/jaypin_router/src/floor.rs
@@ -24,12 +24,12 @@
 
 impl MinimumShares {
     /// Counts a request that was asked for.
-    pub fn asked(&mut self, service: ServiceKey, rank: Rank) {
+    pub fn record_arrival(&mut self, service: ServiceKey, rank: Rank) {
         self.change(service, rank, FLOOR_PART);
     }
 
     /// Counts one that was sent.
-    pub fn sent(&mut self, service: ServiceKey, rank: Rank) {
+    pub fn record_sent(&mut self, service: ServiceKey, rank: Rank) {
         self.change(service, rank, -1.0);
     }
 
--- a/crates/jaypin_router/src/grounds.rs
+++ b/crates/jaypin_router/src/grounds.rs
@@ -76,7 +76,7 @@
     /// How the last call ended, and how often the request may have run.
     Call {
         /// Calls on which it may have run.
-        runs: u32,
+        possible_runs: u32,
         /// Backend servers that were tried.
         attempted: usize,
     },
@@ -164,10 +164,13 @@
                 Ok(())
             }
             Self::Deadline => write!(f, "the time for the answer is over"),
-            Self::Call { runs, attempted } => {
+            Self::Call {
+                possible_runs,
+                attempted,
+            } => {
                 write!(
                     f,
-                    "{attempted} backend servers tried, may have run on {runs}"
+                    "{attempted} backend servers tried, may have run on {possible_runs}"
                 )
             }
         }
--- a/crates/jaypin_router/src/limits.rs
+++ b/crates/jaypin_router/src/limits.rs
@@ -43,7 +43,7 @@
 const USUAL_PAUSE: Duration = Duration::from_millis(500);
 
 /// Time for which a request may wait for a place.
-pub fn hold(route: &Route) -> Duration {
+pub fn queue_time_limit(route: &Route) -> Duration {
     route.latency_target.mul_f64(HOLD_PART)
 }
 
@@ -89,8 +89,8 @@
 
 /// Time without a first event after which a call that may be sent again is given up: its
 /// backend server accepted it and hangs, or the connection went silent.
-pub fn silence(admitted: &Admitted, choice: &Choice) -> Option<Duration> {
-    let is_left = admitted.runs + 1 < admitted.route.attempts;
+pub fn first_event_timeout(admitted: &Admitted, choice: &Choice) -> Option<Duration> {
+    let is_left = admitted.possible_runs + 1 < admitted.route.attempts;
     let may_run_again = admitted.route.repeat.may_run_again() && is_left;
     may_run_again.then(|| choice.first_event * 3 + admitted.route.latency_target.mul_f64(1.5))
 }
--- a/crates/jaypin_router/src/pace.rs
+++ b/crates/jaypin_router/src/pace.rs
@@ -36,7 +36,7 @@
 
 impl PrefillRate {
     /// Learns that the prefill of so many tokens took so long.
-    pub fn saw(&mut self, tokens: f64, seconds: f64) {
+    pub fn record(&mut self, tokens: f64, seconds: f64) {
         let keep = (-tokens / MEMORY_TOKENS).exp();
         self.tokens = self.tokens * keep + tokens;
         self.seconds = self.seconds * keep + seconds.max(LEAST_SECONDS);
--- a/crates/jaypin_router/src/peer_loads.rs
+++ b/crates/jaypin_router/src/peer_loads.rs
@@ -68,7 +68,7 @@
 
 impl PeerLoads {
     /// Takes what a report says of backend servers.
-    pub fn take(&mut self, report: &Report, now: Instant) -> LoadUpdate {
+    pub fn apply(&mut self, report: &Report, now: Instant) -> LoadUpdate {
         let mut news = LoadUpdate::default();
         if report.loads.is_empty() && report.samples.is_empty() {
             return news;
@@ -116,7 +116,7 @@
     }
 
     /// Forgets what was not told again in time.
-    pub fn lapse(&mut self, now: Instant) -> LoadUpdate {
+    pub fn expire(&mut self, now: Instant) -> LoadUpdate {
         let mut news = LoadUpdate::default();
         let sums = &mut self.sums;
         for host in self.hosts.values_mut() {
--- a/crates/jaypin_router/src/placement.rs
+++ b/crates/jaypin_router/src/placement.rs
@@ -38,7 +38,7 @@
     /// Longest pause of streams beside it.
     pub longest_pause: Option<Duration>,
     /// Time that a request of the service holds its slot, where none was seen.
-    pub residence: Duration,
+    pub hold_time: Duration,
     /// Events that its answer is expected to have.
     pub events: Option<f64>,
     /// Time within which the whole answer is worth anything.
@@ -57,7 +57,7 @@
     /// Estimated wait for a slot.
     pub slot_wait: Duration,
     /// Mean time between two slots that come free there, while all are taken.
-    pub turn: Duration,
+    pub slot_interval: Duration,
     /// Tokens that it reads before.
     pub tokens_ahead: u32,
     /// Whether a slot is free.
@@ -100,11 +100,11 @@
     let running = backend.running();
     let tokens_ahead = backend.unread_tokens(now);
     let in_line = f64::from((running + 1).saturating_sub(slots));
-    let residence = backend.residence().unwrap_or(demand.residence);
+    let residence = backend.hold_time().unwrap_or(demand.hold_time);
     let turn = residence / slots;
     let slot_wait = in_line * turn.as_secs_f64();
     let tokens = f64::from(tokens_ahead) + f64::from(demand.prompt_tokens);
-    let prefill = backend.pace.seconds_for(tokens);
+    let prefill = backend.prefill_rate.seconds_for(tokens);
     let first_event = CALL_OVERHEAD + Duration::from_secs_f64((slot_wait + prefill).min(3_600.0));
     let answer = demand
         .events
@@ -115,7 +115,7 @@
         first_event,
         time_fraction: answer.map(|it| (first_event.as_secs_f64() + it) / time_left),
         slot_wait: Duration::from_secs_f64(slot_wait.min(3_600.0)),
-        turn,
+        slot_interval: turn,
         tokens_ahead,
         has_slot: running < slots,
         is_unhealthy: backend.is_unhealthy(now),
@@ -130,7 +130,7 @@
     if let Some(pause) = demand.longest_pause {
         let tokens = f64::from(choice.tokens_ahead) + f64::from(demand.prompt_tokens);
         let longest = pause.as_secs_f64() * PAUSE_PART;
-        let excess = backend.pace.seconds_for(tokens) / longest - 1.0;
+        let excess = backend.prefill_rate.seconds_for(tokens) / longest - 1.0;
         score += WEIGHT_OF_PAUSE * running * excess.max(0.0);
     }
     let overrun = choice.time_fraction.unwrap_or_default() - SAFE_PART;
--- a/crates/jaypin_router/src/proof.rs
+++ b/crates/jaypin_router/src/proof.rs
@@ -21,7 +21,7 @@
 
 impl PeerClock {
     /// Takes a report that was sent at `sent` by the peer's clock and came at `now`.
-    pub fn saw(&mut self, sent: BootTime, now: BootTime) {
+    pub fn record(&mut self, sent: BootTime, now: BootTime) {
         let difference = micros(now) - micros(sent);
         self.least = Some(self.least.map_or(difference, |least| least.min(difference)));
         self.reports = self.reports.saturating_add(1);
--- a/crates/jaypin_router/src/report.rs
+++ b/crates/jaypin_router/src/report.rs
@@ -65,7 +65,7 @@
     /// What callers asked of it, as totals of this run.
     pub asked: Vec<ArrivalCount>,
     /// Contents under which backend servers died.
-    pub strikes: Vec<Strike>,
+    pub crash_counts: Vec<Strike>,
     /// Orders for new versions of services that are under way or have just ended.
     pub rollouts: Vec<RolloutReport>,
     /// To other cells: where callers of the sender's cell may connect.
@@ -125,7 +125,7 @@
     /// Seconds that this took.
     pub seconds: f64,
     /// Seconds for which the calls that succeeded held their slots.
-    pub held: f64,
+    pub hold_seconds: f64,
     /// Events of streams, behind the first of each.
     pub events: f64,
     /// Seconds that they took.
@@ -178,7 +178,7 @@
             key,
             tokens: 0.0,
             seconds: 0.0,
-            held: 0.0,
+            hold_seconds: 0.0,
             events: 0.0,
             event_seconds: 0.0,
             good: 0,
@@ -193,7 +193,7 @@
             key: self.key,
             tokens: (self.tokens - before.tokens).max(0.0),
             seconds: (self.seconds - before.seconds).max(0.0),
-            held: (self.held - before.held).max(0.0),
+            hold_seconds: (self.hold_seconds - before.hold_seconds).max(0.0),
             events: (self.events - before.events).max(0.0),
             event_seconds: (self.event_seconds - before.event_seconds).max(0.0),
             good: self.good.saturating_sub(before.good),
--- a/crates/jaypin_router/src/request.rs
+++ b/crates/jaypin_router/src/request.rs
@@ -126,7 +126,7 @@
     /// Backend servers that it was sent to, also where it surely did not run.
     pub attempted: Vec<BackendId>,
     /// Backend servers on which it may have run.
-    pub runs: u32,
+    pub possible_runs: u32,
     /// Whether part of its answer was passed on.
     pub is_started: bool,
 }
--- a/crates/jaypin_router/src/router/arrival.rs
+++ b/crates/jaypin_router/src/router/arrival.rs
@@ -8,7 +8,7 @@
 
 use super::{Effect, Router};
 use crate::come_back::{LEAVING_RETRY_AFTER, MAX_QUARANTINE_RETRY_AFTER, NOT_READY_RETRY_AFTER};
-use crate::limits::hold;
+use crate::limits::queue_time_limit;
 use crate::request::{Admitted, Request, Waiting};
 use crate::{
     Account, Arrival, DecisionInputs, QuotaUnit, Rank, RequestNumber, Requester, Route, RouteTable,
@@ -98,11 +98,11 @@
             arrived_at: arrival.received_at,
             deadline: arrival.received_at + patience.min(route.timeout),
             attempted: Vec::new(),
-            runs: 0,
+            possible_runs: 0,
             is_started: false,
             route: route.clone(),
         };
-        let until = arrival.received_at + hold(route);
+        let until = arrival.received_at + queue_time_limit(route);
         Request {
             admitted,
             state: Waiting { until },
@@ -148,7 +148,7 @@
             ));
         }
         let key = service_key(&admitted.service);
-        self.floors.asked(key, admitted.rank);
+        self.floors.record_arrival(key, admitted.rank);
         if let Some(account) = &admitted.account
             && let Err(over) = self.take_quota(account, admitted, now)
         {
@@ -162,7 +162,7 @@
             };
             return fx.push(refuse(number, asked_by, refusal, grounds));
         }
-        self.asked.saw(key, admitted.rank, now);
+        self.asked.record(key, admitted.rank, now);
         let service = admitted.service.clone();
         let first = if table
             .service(&service)
@@ -187,7 +187,7 @@
         let route = (service_key(&admitted.service), admitted.rank.route);
         let units = admitted.units;
         if units > 0.0 {
-            self.account_asked.saw(account, route, units, now);
+            self.account_asked.record(account, route, units, now);
         }
         let is_owed = self.floors.is_behind(route.0, admitted.rank);
         let kept = if is_owed || units <= 0.0 {
--- a/crates/jaypin_router/src/router/attempt.rs
+++ b/crates/jaypin_router/src/router/attempt.rs
@@ -31,7 +31,7 @@
         let Some(backend) = self.backends.get_mut(&state.backend) else {
             return;
         };
-        backend.answered(number);
+        backend.record_first_event(number);
         // With all slots taken, the time tells more of other requests' ends than of this
         // one's prefill.
         let is_first = request.admitted.attempted.len() == 1;
@@ -69,7 +69,7 @@
             return;
         };
         if let Some(backend) = self.backends.get_mut(&request.state.backend) {
-            backend.ended(number, outcome, now);
+            backend.record_end(number, outcome, now);
             self.load_telling.slot_changed(backend.key);
         }
         self.compare_versions(&request, outcome);
@@ -79,7 +79,7 @@
             AttemptOutcome::Abandoned => {}
             _ if outcome.is_definitely_not_run() => self.declined(now, request, outcome, fx),
             _ => {
-                request.admitted.runs += 1;
+                request.admitted.possible_runs += 1;
                 self.failed(now, request, outcome, fx);
             }
         }
@@ -135,7 +135,7 @@
         let admitted = &request.admitted;
         let (number, service) = (admitted.number, admitted.service.clone());
         let may_run = admitted.route.repeat.may_run_again()
-            && admitted.runs < admitted.route.attempts
+            && admitted.possible_runs < admitted.route.attempts
             && now < admitted.deadline
             && outcome != AttemptOutcome::TimedOut
             && self.quarantined_for(admitted.fingerprint, now).is_none();
@@ -163,7 +163,7 @@
 
 fn call_grounds(admitted: &Admitted) -> DecisionInputs {
     DecisionInputs::Call {
-        runs: admitted.runs,
+        possible_runs: admitted.possible_runs,
         attempted: admitted.attempted.len(),
     }
 }
--- a/crates/jaypin_router/src/router/backend_signals.rs
+++ b/crates/jaypin_router/src/router/backend_signals.rs
@@ -118,13 +118,13 @@
 
     /// Hosts that callers are sent to. Where none is, all that are heard.
     fn sharers(&self, now: Instant) -> Sharers {
-        let heard = self.fleet.heard(now);
+        let heard = self.fleet.live_peers(now);
         let ready = heard.filter(|(_, peer)| peer.is_ready);
         let mut others: Vec<_> = ready.map(|(host, _)| hash(host)).collect();
         others.extend(self.ready_in_other_cells(now));
         let is_one = self.was_ready || others.is_empty();
         if others.is_empty() && !self.was_ready {
-            let heard = self.fleet.heard(now);
+            let heard = self.fleet.live_peers(now);
             others = heard.map(|(host, _)| hash(host)).collect();
         }
         Sharers {
--- a/crates/jaypin_router/src/router/knowledge.rs
+++ b/crates/jaypin_router/src/router/knowledge.rs
@@ -77,8 +77,8 @@
                 id: id.clone(),
                 point,
             };
-            self.entries.take(&removed);
-            self.entries.tell(removed);
+            self.entries.apply(&removed);
+            self.entries.queue(removed);
             self.backend_missing(id, now);
         }
         for (record, point) in entries {
@@ -95,7 +95,7 @@
     /// Takes a change that this host read itself, and tells it to its cell.
     pub(super) fn backend_told(&mut self, change: EntryChange, now: Instant) {
         if self.take_entry(change.clone(), now) {
-            self.entries.tell(change);
+            self.entries.queue(change);
             self.telling.has_news();
         }
     }
@@ -126,7 +126,7 @@
         {
             self.views.invalidate();
         }
-        let news = self.fleet.take(report, now, boot_time);
+        let news = self.fleet.apply(report, now, boot_time);
         if is_whole {
             self.refresh_quotas(now);
         }
@@ -147,7 +147,7 @@
 
     /// Takes what a peer has running and has learned.
     fn take_loads(&mut self, report: &Report, now: Instant) {
-        let news = self.peer_loads.take(report, now);
+        let news = self.peer_loads.apply(report, now);
         for samples in &news.samples {
             if let Some(backend) = self.backends.by_key_mut(samples.key) {
                 backend.record_peer_samples(samples, now);
@@ -201,7 +201,7 @@
         for budget in self.budgets.values_mut() {
             budget.set_allowance(allowance);
         }
-        let lapsed = self.peer_loads.lapse(now);
+        let lapsed = self.peer_loads.expire(now);
         self.loads_changed(&lapsed, now);
     }
 
@@ -246,9 +246,9 @@
         self.find_versions_in_force();
         let in_force = self.ready_in_role(VersionRole::InForce);
         let under_trial = self.ready_in_role(VersionRole::Trial);
-        self.views.derive(&self.cfg.host, &others, in_force);
+        self.views.recompute(&self.cfg.host, &others, in_force);
         self.trial_views
-            .derive(&self.cfg.host, &others, under_trial);
+            .recompute(&self.cfg.host, &others, under_trial);
     }
 
     /// By how much more all hosts have running than those that this host hears of.
@@ -263,7 +263,7 @@
     /// What the fleet is asked for of the backend servers that this host uses, against what
     /// its cell is asked for of all.
     pub(super) fn share_of_asked(&self, service: &str) -> f64 {
-        f64::from(self.cells) * self.views.part(service)
+        f64::from(self.cells) * self.views.fraction(service)
     }
 
     fn resend_allowance(&self, now: Instant) -> f64 {
--- a/crates/jaypin_router/src/router/mod.rs
+++ b/crates/jaypin_router/src/router/mod.rs
@@ -230,13 +230,13 @@
 
     /// Peers that were heard lately.
     pub fn heard_peers(&self, now: Instant) -> impl Iterator<Item = &HostId> {
-        self.fleet.heard(now).map(|(host, _)| host)
+        self.fleet.live_peers(now).map(|(host, _)| host)
     }
 
     /// Addresses that callers may use now, by what this host knows.
     #[must_use]
     pub fn caller_addresses(&self, now: Instant, boot_time: BootTime) -> Vec<SocketAddr> {
-        let ready = self.fleet.heard(now).filter(|(_, peer)| peer.is_ready);
+        let ready = self.fleet.live_peers(now).filter(|(_, peer)| peer.is_ready);
         let mut addresses: Vec<_> = ready.map(|(_, peer)| peer.callers).collect();
         if self.is_ready(boot_time) {
             addresses.push(self.cfg.callers);
--- a/crates/jaypin_router/src/router/placing.rs
+++ b/crates/jaypin_router/src/router/placing.rs
@@ -9,7 +9,7 @@
 use super::{Effect, Router};
 use crate::come_back::capacity_retry_after;
 use crate::limits::{
-    first_event_limit, is_last_resort, is_long, longest_pause, silence, slot_wait_limit,
+    first_event_limit, first_event_timeout, is_last_resort, is_long, longest_pause, slot_wait_limit,
 };
 use crate::placement::{Choice, Demand, best_place};
 use crate::request::{Admitted, Request, Sent, Waiting};
@@ -129,7 +129,7 @@
             prompt_tokens: admitted.prompt_tokens,
             latency_target: admitted.route.latency_target,
             longest_pause: admitted.route.longest_pause,
-            residence: self.residence_of(&admitted.service),
+            hold_time: self.residence_of(&admitted.service),
             events: admitted.expected_events,
             time_left: admitted.deadline.saturating_duration_since(now),
         }
@@ -168,7 +168,7 @@
 
     /// Backend servers of a service that this host uses.
     fn ours(&self, service: &ServiceId) -> impl Iterator<Item = &Backend> {
-        let ours = self.views.ours(service).iter();
+        let ours = self.views.own_subset(service).iter();
         ours.filter_map(|id| self.backends.get(id))
     }
 
@@ -220,19 +220,19 @@
         };
         let admitted = &request.admitted;
         let (number, tokens) = (admitted.number, admitted.prompt_tokens);
-        backend.sent(number, tokens, choice.first_event, now);
+        backend.record_sent(number, tokens, choice.first_event, now);
         self.load_telling.slot_changed(backend.key);
         let record = backend.record.clone();
         self.count_exposure(&record);
         let service = service_key(&admitted.service);
-        self.floors.sent(service, admitted.rank);
+        self.floors.record_sent(service, admitted.rank);
         fx.push(Effect::Send {
             number,
             backend: choice.backend.clone(),
             address: record.address,
             asked_by: admitted.requester(),
             repeat: admitted.route.repeat,
-            silence: silence(admitted, &choice),
+            silence: first_event_timeout(admitted, &choice),
             longest_pause: longest_pause(&admitted.route),
             deadline: admitted.deadline,
             grounds,
@@ -258,7 +258,7 @@
     ) {
         let admitted = &request.admitted;
         let number = admitted.number;
-        if admitted.runs > 0 {
+        if admitted.possible_runs > 0 {
             return fx.push(Effect::PassOn(number));
         }
         self.give_back(admitted);
@@ -294,7 +294,7 @@
 impl Tightness {
     /// Whether a place may be taken nevertheless.
     fn spares(&self, choice: &Choice) -> bool {
-        choice.turn <= self.quick && choice.slot_wait <= self.quick
+        choice.slot_interval <= self.quick && choice.slot_wait <= self.quick
     }
 }
 
@@ -308,6 +308,6 @@
 /// Time that the first event may take at a backend server.
 pub(super) fn limit_at(backend: &Backend, admitted: &Admitted, now: Instant) -> Duration {
     let tokens = f64::from(admitted.prompt_tokens);
-    let own = Duration::from_secs_f64(backend.pace.seconds_for(tokens));
+    let own = Duration::from_secs_f64(backend.prefill_rate.seconds_for(tokens));
     first_event_limit(admitted, own, now)
 }
--- a/crates/jaypin_router/src/router/rollouts.rs
+++ b/crates/jaypin_router/src/router/rollouts.rs
@@ -126,7 +126,10 @@
     fn write_turns(&self, now: Instant) -> u32 {
         const WRITE_ORDER: &str = "rollout";
         let own = score(WRITE_ORDER, &self.cfg.host);
-        let heard = self.fleet.heard(now).filter(|(_, peer)| peer.may_watch);
+        let heard = self
+            .fleet
+            .live_peers(now)
+            .filter(|(_, peer)| peer.may_watch);
         let before = heard.filter(|(host, _)| score(WRITE_ORDER, host) > own);
         let before = u32::try_from(before.count()).unwrap_or(u32::MAX);
         self.cell.saturating_add(before.saturating_mul(self.cells))
@@ -198,7 +201,7 @@
         let serves = |backend: &Backend, choice: &Choice| {
             is_in_time(choice, limit_at(backend, admitted, now), slot_limit)
         };
-        let ours = self.trial_views.ours(&admitted.service).iter();
+        let ours = self.trial_views.own_subset(&admitted.service).iter();
         let ours = ours.filter_map(|id| self.backends.get(id));
         let mut rng = self.rng.clone();
         let turn = || rng.random_range(0.0..1.0);
--- a/crates/jaypin_router/src/router/snapshot.rs
+++ b/crates/jaypin_router/src/router/snapshot.rs
@@ -27,7 +27,7 @@
     /// Hosts that the store lists: whoever else reports is not asked, so that a stranger's
     /// report can't hand a configuration to a host.
     fn holders(&self, now: Instant, has_it: impl Fn(&Peer) -> bool) -> Vec<SocketAddr> {
-        let heard = self.fleet.heard(now).map(|(_, peer)| peer);
+        let heard = self.fleet.live_peers(now).map(|(_, peer)| peer);
         let holders = heard.filter(|peer| has_it(peer));
         let addresses = holders.map(|peer| peer.address);
         addresses
@@ -44,7 +44,7 @@
     /// Whether a peer is heard that the store did not list when it was asked last.
     #[must_use]
     pub fn hears_unlisted(&self, now: Instant) -> bool {
-        let mut heard = self.fleet.heard(now);
+        let mut heard = self.fleet.live_peers(now);
         heard.any(|(_, peer)| !self.telling.is_registered(&peer.address))
     }
 
--- a/crates/jaypin_router/src/router/telling.rs
+++ b/crates/jaypin_router/src/router/telling.rs
@@ -251,7 +251,7 @@
             store: self.store_view(now, boot_time),
             low_levels: Vec::new(),
             asked: Vec::new(),
-            strikes: strikes.collect(),
+            crash_counts: strikes.collect(),
             rollouts: self.rollouts_to_tell(now, false),
             cell_callers: None,
         }
@@ -271,7 +271,11 @@
 
     /// Peers of the cell that were heard, and now and then those that were not.
     fn audience(&mut self, now: Instant) -> Vec<SocketAddr> {
-        let heard: BTreeSet<_> = self.fleet.heard(now).map(|(_, it)| it.address).collect();
+        let heard: BTreeSet<_> = self
+            .fleet
+            .live_peers(now)
+            .map(|(_, it)| it.address)
+            .collect();
         let (cell, cells) = (self.cell, self.cells);
         let mut to = Vec::new();
         for (address, found) in &mut self.telling.found {
@@ -293,7 +297,11 @@
     /// Drops hosts that were silent for long.
     pub(super) fn refresh_found(&mut self, now: Instant) {
         let own = self.cfg.address;
-        let heard: BTreeSet<_> = self.fleet.heard(now).map(|(_, it)| it.address).collect();
+        let heard: BTreeSet<_> = self
+            .fleet
+            .live_peers(now)
+            .map(|(_, it)| it.address)
+            .collect();
         let before = self.telling.found.len();
         self.telling.found.retain(|address, found| {
             let since = *found.since.get_or_insert(now);
@@ -322,7 +330,7 @@
             .values()
             .filter_map(|addresses| addresses.choose(&mut self.rng).copied())
             .collect();
-        let ready = self.fleet.heard(now).filter(|(_, peer)| peer.is_ready);
+        let ready = self.fleet.live_peers(now).filter(|(_, peer)| peer.is_ready);
         let mut callers: Vec<_> = ready.map(|(_, peer)| peer.callers).collect();
         callers.extend(self.was_ready.then_some(self.cfg.callers));
         let whole = WholeReport {
--- a/crates/jaypin_router/src/router/telling_loads.rs
+++ b/crates/jaypin_router/src/router/telling_loads.rs
@@ -200,8 +200,8 @@
         let Some(views) = self.views_of(record) else {
             return Vec::new();
         };
-        let Some(mut users) = views.users(&record.service, &record.id) else {
-            let heard = self.fleet.heard(now);
+        let Some(mut users) = views.peers_using(&record.service, &record.id) else {
+            let heard = self.fleet.live_peers(now);
             return heard.map(|(_, peer)| peer.address).collect();
         };
         let silent: HashSet<_> = self.fleet.silent_addresses(now).collect();
--- a/crates/jaypin_router/src/router/watching.rs
+++ b/crates/jaypin_router/src/router/watching.rs
@@ -62,7 +62,7 @@
     #[must_use]
     pub fn watch_place(&self, now: Instant) -> usize {
         let own = score(WATCH_ORDER, &self.cfg.host);
-        let heard = self.fleet.heard(now);
+        let heard = self.fleet.live_peers(now);
         let before = heard.filter(|(host, _)| score(WATCH_ORDER, host) > own);
         before.count()
     }
@@ -96,7 +96,7 @@
         }
         let own = score(WATCH_ORDER, &self.cfg.host);
         let is_better = |host: &HostId| score(WATCH_ORDER, host) > own;
-        let heard = self.fleet.heard(now);
+        let heard = self.fleet.live_peers(now);
         let heard = heard.filter(|(host, peer)| peer.may_watch && is_better(host));
         let unheard = self.telling.lately_found(now).filter(|host| {
             is_joining
@@ -214,7 +214,7 @@
 
     /// Takes a change of an entry, whoever told it.
     pub(super) fn take_entry(&mut self, change: EntryChange, now: Instant) -> bool {
-        if !self.entries.take(&change) {
+        if !self.entries.apply(&change) {
             return false;
         }
         match change {
--- a/crates/jaypin_router/src/view.rs
+++ b/crates/jaypin_router/src/view.rs
@@ -97,7 +97,7 @@
     }
 
     /// Derives the views anew.
-    pub fn derive(
+    pub fn recompute(
         &mut self,
         own: &HostId,
         others: &[(HostId, SocketAddr)],
@@ -113,7 +113,7 @@
 
     /// What this host uses of a service.
     #[must_use]
-    pub fn ours(&self, service: &str) -> &[BackendId] {
+    pub fn own_subset(&self, service: &str) -> &[BackendId] {
         let view = self.of_service.get(service);
         view.map_or(&[], |view| &view.ours)
     }
@@ -127,7 +127,7 @@
 
     /// Which part of a service's backend servers this host uses.
     #[must_use]
-    pub fn part(&self, service: &str) -> f64 {
+    pub fn fraction(&self, service: &str) -> f64 {
         let view = self.of_service.get(service);
         view.map_or(1.0, |view| view.part)
     }
@@ -142,7 +142,7 @@
     /// Where the hosts take reports that use a backend server too; nothing for a service of
     /// which only the own cell hears.
     #[must_use]
-    pub fn users(&self, service: &str, backend: &str) -> Option<Vec<SocketAddr>> {
+    pub fn peers_using(&self, service: &str, backend: &str) -> Option<Vec<SocketAddr>> {
         let view = self.of_service.get(service)?;
         let backend = hash(backend);
         match view.kind {
--- a/crates/jaypin_router/tests/answer_time.rs
+++ b/crates/jaypin_router/tests/answer_time.rs
@@ -109,14 +109,14 @@
 fn an_engine_is_taken_for_fast_again_within_a_few_answers() {
     let mut pace = EventRate::default();
     let of_one = |pace: &EventRate| pace.seconds_for(1.0).unwrap_or_default();
-    pace.saw(100.0, 0.8);
-    pace.saw(4.0, 0.32);
-    pace.saw(4.0, 0.32);
+    pace.record(100.0, 0.8);
+    pace.record(4.0, 0.32);
+    pace.record(4.0, 0.32);
     assert!(of_one(&pace) > 0.04, "{}", of_one(&pace));
-    pace.saw(8.0, 0.064);
+    pace.record(8.0, 0.064);
     assert!(of_one(&pace) > 0.02, "{}", of_one(&pace));
     for _ in 0..20 {
-        pace.saw(8.0, 0.064);
+        pace.record(8.0, 0.064);
     }
     assert!(of_one(&pace) < 0.012, "{}", of_one(&pace));
 }
@@ -125,6 +125,6 @@
 fn an_engine_without_events_has_no_pace() {
     let mut pace = EventRate::default();
     assert_eq!(pace.seconds_for(10.0), None);
-    pace.saw(2.0, 0.1);
+    pace.record(2.0, 0.1);
     assert_eq!(pace.seconds_for(10.0), None);
 }
--- a/crates/jaypin_router/tests/common/mod.rs
+++ b/crates/jaypin_router/tests/common/mod.rs
@@ -159,7 +159,7 @@
         store: StoreView::default(),
         low_levels: Vec::new(),
         asked: Vec::new(),
-        strikes: Vec::new(),
+        crash_counts: Vec::new(),
         rollouts: Vec::new(),
         cell_callers: None,
     }
--- a/crates/jaypin_router/tests/order.rs
+++ b/crates/jaypin_router/tests/order.rs
@@ -236,7 +236,7 @@
     let service = service_key(ENGINES);
     let mut now = Instant::now();
     for _ in 0..100 {
-        rates.saw(service, URGENT, now);
+        rates.record(service, URGENT, now);
         now += Duration::from_millis(20);
     }
     let during = rates.rate_above(service, DEFERRABLE, now);
@@ -306,20 +306,20 @@
     let service = service_key(ENGINES);
     let mut floors = MinimumShares::default();
     for _ in 0..1_000 {
-        floors.asked(service, DEFERRABLE);
-        floors.sent(service, DEFERRABLE);
+        floors.record_arrival(service, DEFERRABLE);
+        floors.record_sent(service, DEFERRABLE);
     }
     let until_owed = (0..100).find(|_| {
-        floors.asked(service, DEFERRABLE);
+        floors.record_arrival(service, DEFERRABLE);
         floors.is_behind(service, DEFERRABLE)
     });
     assert!(until_owed.is_some_and(|asked| asked < 20), "{until_owed:?}");
     for _ in 0..1_000 {
-        floors.asked(service, DEFERRABLE);
+        floors.record_arrival(service, DEFERRABLE);
     }
     let pushed = (0..100).take_while(|_| {
         let is_owed = floors.is_behind(service, DEFERRABLE);
-        floors.sent(service, DEFERRABLE);
+        floors.record_sent(service, DEFERRABLE);
         is_owed
     });
     assert!(pushed.count() <= 3);
--- a/crates/jaypin_router/tests/proof.rs
+++ b/crates/jaypin_router/tests/proof.rs
@@ -88,9 +88,9 @@
     // The peer's clock is 100 s ahead, and reports take 2 ms.
     for second in 0..10 {
         let sent = SECOND * (100 + second);
-        clock.saw(sent, SECOND * second + Duration::from_millis(2));
+        clock.record(sent, SECOND * second + Duration::from_millis(2));
     }
-    clock.saw(SECOND * 110, SECOND * 13);
+    clock.record(SECOND * 110, SECOND * 13);
     let own = clock
         .to_local_time(SECOND * 110)
         .expect("the clock is known");
@@ -101,7 +101,7 @@
 #[test]
 fn a_peer_heard_once_proves_nothing() {
     let mut clock = PeerClock::default();
-    clock.saw(SECOND, SECOND * 9);
+    clock.record(SECOND, SECOND * 9);
     assert_eq!(clock.to_local_time(SECOND), None);
 }
 
--- a/crates/jaypin_router/tests/quota_order.rs
+++ b/crates/jaypin_router/tests/quota_order.rs
@@ -149,7 +149,7 @@
         ((engines, 2), 800.0),
         ((plain, 0), 900.0),
     ] {
-        asked.saw(&farm(), route, units, now);
+        asked.record(&farm(), route, units, now);
     }
     let left = |rank| asked.units_to_reserve(&farm(), (engines, rank), 2.0, now);
     assert!(left(0) < f64::EPSILON);
--- a/crates/jaypin_router/tests/views.rs
+++ b/crates/jaypin_router/tests/views.rs
@@ -41,7 +41,7 @@
             .collect();
         let backends = BTreeMap::from([(ServiceId::from(SERVICE), engines.to_vec())]);
         let mut views = BackendSubsets::default();
-        views.derive(own, &others, backends);
+        views.recompute(own, &others, backends);
         views
     }
 
@@ -77,8 +77,8 @@
     let fleet = Fleet::new(195, 117);
     let all = fleet.all();
     for (number, views) in all.iter().enumerate() {
-        for engine in views.ours(SERVICE) {
-            let told = views.users(SERVICE, engine).expect("told one by one");
+        for engine in views.own_subset(SERVICE) {
+            let told = views.peers_using(SERVICE, engine).expect("told one by one");
             for (other, theirs) in all.iter().enumerate() {
                 let uses = other != number && theirs.contains(SERVICE, engine);
                 let address = fleet.hosts[other].1;
@@ -97,10 +97,12 @@
     let mut missing = 0;
     for number in 1..195 {
         let theirs = fleet.views_among(number, few);
-        let shared = theirs.ours(SERVICE).iter();
+        let shared = theirs.own_subset(SERVICE).iter();
         let shared = shared.filter(|it| sender.contains(SERVICE, it));
         for engine in shared {
-            let told = sender.users(SERVICE, engine).expect("told one by one");
+            let told = sender
+                .peers_using(SERVICE, engine)
+                .expect("told one by one");
             missing += u32::from(!told.contains(&fleet.hosts[number].1));
         }
     }
@@ -114,7 +116,7 @@
     for (hosts, engines) in [(195, 117), (123, 90), (370, 600)] {
         let mut users: HashMap<BackendId, usize> = HashMap::new();
         for views in Fleet::new(hosts, engines).all() {
-            for engine in views.ours(SERVICE) {
+            for engine in views.own_subset(SERVICE) {
                 *users.entry(engine.clone()).or_default() += 1;
             }
         }
@@ -133,9 +135,9 @@
     for number in 0..20 {
         let before = fleet.views_of(number);
         let after = fleet.views_among(number, &fleet.engines[1..]);
-        let kept = before.ours(SERVICE).iter();
+        let kept = before.own_subset(SERVICE).iter();
         let kept = kept.filter(|it| after.contains(SERVICE, it)).count();
-        assert!(kept + 1 >= before.ours(SERVICE).len());
+        assert!(kept + 1 >= before.own_subset(SERVICE).len());
     }
 }
 
@@ -145,13 +147,15 @@
 fn views_overlap_until_all_engines_are_reached() {
     let fleet = Fleet::new(195, 117);
     let all = fleet.all();
-    let mut reached: Vec<_> = all[0].ours(SERVICE).to_vec();
+    let mut reached: Vec<_> = all[0].own_subset(SERVICE).to_vec();
     for _ in 0..2 {
         let near = all.iter().filter(|views| {
-            let mut ours = views.ours(SERVICE).iter();
+            let mut ours = views.own_subset(SERVICE).iter();
             ours.any(|it| reached.contains(it))
         });
-        let near: Vec<_> = near.flat_map(|it| it.ours(SERVICE).to_vec()).collect();
+        let near: Vec<_> = near
+            .flat_map(|it| it.own_subset(SERVICE).to_vec())
+            .collect();
         reached.extend(near);
         reached.sort();
         reached.dedup();
@@ -162,6 +166,6 @@
 #[test]
 fn an_unknown_service_has_no_view() {
     let views = BackendSubsets::default();
-    assert!(views.ours("none").is_empty());
-    assert_eq!(views.users("none", "engine-1"), None);
+    assert!(views.own_subset("none").is_empty());
+    assert_eq!(views.peers_using("none", "engine-1"), None);
 }
