--- a/crates/jaypin_entry/src/callers/attempt.rs
+++ b/crates/jaypin_entry/src/callers/attempt.rs
@@ -127,7 +127,7 @@
             rate_limit,
             is_leaving: says.status == BackendStatus::Leaving,
         };
-        self.host.apply(Event::Signalled {
+        self.host.apply(Event::HeaderReceived {
             number,
             signals,
             backoff,
@@ -188,7 +188,7 @@
             self.failure = Some(answer);
             return AttemptOutcome::Failed;
         }
-        self.host.apply(Event::Answered(self.number));
+        self.host.apply(Event::ResponseStarted(self.number));
         delivery.finish(pass_on(answer));
         AttemptOutcome::Complete
     }
@@ -232,7 +232,7 @@
                 }
                 if !is_answered {
                     is_answered = true;
-                    self.host.apply(Event::Answered(self.number));
+                    self.host.apply(Event::ResponseStarted(self.number));
                     delivery.begin(head.status, &head.headers);
                 }
                 self.last_id = id.or(self.last_id);
--- a/crates/jaypin_entry/src/callers/drive.rs
+++ b/crates/jaypin_entry/src/callers/drive.rs
@@ -64,7 +64,7 @@
             let directive = tokio::select! {
                 directive = self.mailbox.next() => directive,
                 () = self.delivery.caller_gone() => {
-                    self.host.apply(Event::CallerGone(self.number));
+                    self.host.apply(Event::CallerDisconnected(self.number));
                     self.log("caller-gone", None, None, &"");
                     break;
                 }
@@ -73,7 +73,7 @@
                 Directive::Send(order) => {
                     let outcome = self.attempt(&order).await;
                     let number = self.number;
-                    self.host.apply(Event::Ended { number, outcome });
+                    self.host.apply(Event::AttemptEnded { number, outcome });
                     metrics::call(outcome.as_str());
                     let asked_by = Some(&order.asked_by);
                     self.log(outcome.as_str(), Some(&order), asked_by, &order.grounds);
--- a/crates/jaypin_entry/src/host.rs
+++ b/crates/jaypin_entry/src/host.rs
@@ -153,7 +153,7 @@
     /// Whether a request that was chosen for a backend server may still be sent there.
     pub fn still_takes(&self, backend: &str) -> bool {
         let now = Instant::now().into_std();
-        self.router.borrow().still_takes(backend, now)
+        self.router.borrow().still_accepts(backend, now)
     }
 
     /// Opens the mailbox of a new request.
@@ -178,10 +178,10 @@
                 address,
                 asked_by,
                 repeat,
-                silence,
-                longest_pause,
+                first_event_timeout: silence,
+                stall_timeout: longest_pause,
                 deadline,
-                grounds,
+                inputs: grounds,
             } => {
                 let order = SendOrder {
                     backend,
@@ -198,17 +198,17 @@
             Effect::Reject {
                 number,
                 reason,
-                grounds,
+                inputs: grounds,
             } => self.direct(number, Directive::Reject(reason, grounds)),
             Effect::Refuse {
                 number,
                 asked_by,
                 refusal,
-                grounds,
+                inputs: grounds,
             } => self.direct(number, Directive::Refuse(refusal, asked_by, grounds)),
-            Effect::PassOn(number) => self.direct(number, Directive::PassOn),
+            Effect::ForwardFailure(number) => self.direct(number, Directive::PassOn),
             Effect::WriteRollout(write) => self.write_rollout(write),
-            Effect::Tell { to, report } => self.tell(&to, &report),
+            Effect::SendReport { to, report } => self.tell(&to, &report),
         }
     }
 
--- a/crates/jaypin_entry/src/peers/heard.rs
+++ b/crates/jaypin_entry/src/peers/heard.rs
@@ -20,8 +20,7 @@
     /// Writes down what changed since the last look.
     pub fn note(&mut self, host: &Host) {
         let now = Instant::now().into_std();
-        let heard: BTreeSet<HostId> =
-            host.look(|router| router.heard_peers(now).cloned().collect());
+        let heard: BTreeSet<HostId> = host.look(|router| router.live_peers(now).cloned().collect());
         for peer in heard.difference(&self.heard) {
             log::info!(peer:%; "peer heard");
         }
--- a/crates/jaypin_entry/src/peers/mod.rs
+++ b/crates/jaypin_entry/src/peers/mod.rs
@@ -73,7 +73,7 @@
         match decode_report(&buf[..length]) {
             Ok(report) => {
                 let (report, boot_time) = (Box::new(report), boot_time());
-                host.apply(Event::Reported { report, boot_time });
+                host.apply(Event::ReportReceived { report, boot_time });
             }
             Err(error) => log::warn!(peer:% = from, error:%; "a report makes no sense"),
         }
--- a/crates/jaypin_entry/src/peers/snapshot.rs
+++ b/crates/jaypin_entry/src/peers/snapshot.rs
@@ -40,7 +40,8 @@
 /// A configuration holds credentials, so only addresses of hosts that the store lists get
 /// an answer.
 pub async fn serve_snapshots(host: Rc<Host>, listener: TcpListener) {
-    let is_host = |host: &Host, from: SocketAddr| host.look(|router| router.is_host(from.ip()));
+    let is_host =
+        |host: &Host, from: SocketAddr| host.look(|router| router.is_registered_host(from.ip()));
     serve_answers(host, listener, is_host, answer).await;
 }
 
--- a/crates/jaypin_entry/src/peers/wire/rollout.rs
+++ b/crates/jaypin_entry/src/peers/wire/rollout.rs
@@ -23,7 +23,7 @@
     let wire_order = (
         order.service.to_string(),
         order.to.to_string(),
-        milliseconds(order.time),
+        milliseconds(order.time_limit),
         wire_point(order.point),
         wire_state(order.state),
     );
@@ -63,7 +63,7 @@
         order: RolloutOrder {
             service: ServiceId::from(service),
             to: SoftwareVersion::from(to),
-            time: Duration::from_millis(time),
+            time_limit: Duration::from_millis(time),
             point: read_point(point),
             state: read_state(state)?,
         },
--- a/crates/jaypin_entry/src/serve.rs
+++ b/crates/jaypin_entry/src/serve.rs
@@ -84,9 +84,9 @@
     let run = rand::rng().random();
     let router = Router::new(RouterConfig {
         host: settings.host.clone(),
-        run,
-        address: settings.peers,
-        callers: settings.callers,
+        incarnation: run,
+        peer_address: settings.peers,
+        caller_address: settings.callers,
         failure_domain: settings.failure_domain.clone(),
         seed: run,
         bounds: settings.bounds.clone(),
@@ -159,7 +159,7 @@
     show.send_replace(Leaving::AnswersClose);
     sleep(LEAST_LEAVING).await;
     show.send_replace(Leaving::IdleCloses);
-    let grace = host.settings.bounds.grace.mul_f64(GRACE_PART);
+    let grace = host.settings.bounds.shutdown_grace.mul_f64(GRACE_PART);
     while !host.look(jaypin_router::Router::is_idle) && since.elapsed() < grace {
         sleep(LEAVING_PAUSE).await;
     }
--- a/crates/jaypin_entry/src/store/backends.rs
+++ b/crates/jaypin_entry/src/store/backends.rs
@@ -31,7 +31,7 @@
     loop {
         if retries.has_ended_well() {
             wait_until(&host, |router| {
-                follows_store(router) || router.has_other_entries(now())
+                follows_store(router) || router.has_diverging_entries(now())
             })
             .await;
             let is_handed = handed_at.is_some_and(|at| at.elapsed() < HANDED_FOR);
@@ -55,7 +55,7 @@
         return false;
     };
     log::info!(count = entries.len(); "entries handed over");
-    host.apply(Event::EntriesHanded(entries));
+    host.apply(Event::EntriesTransferred(entries));
     true
 }
 
--- a/crates/jaypin_entry/src/store/configuration.rs
+++ b/crates/jaypin_entry/src/store/configuration.rs
@@ -46,13 +46,17 @@
 }
 
 async fn follow(host: &Host, client: &mut StoreClient<'_>) -> Result<(), StoreError> {
-    wait_until(host, |router| is_needed(router) || router.is_behind()).await;
+    wait_until(host, |router| {
+        is_needed(router) || router.is_configuration_outdated()
+    })
+    .await;
     wait_for_turn(host).await;
-    if !host.look(|router| is_needed(router) || router.is_behind()) {
+    if !host.look(|router| is_needed(router) || router.is_configuration_outdated()) {
         return Ok(());
     }
     // One that the store turns away takes what its peers have, also if it should watch.
-    let asks_store = host.look(|router| router.is_watcher(now()) && !router.is_turned_away());
+    let asks_store =
+        host.look(|router| router.is_watcher(now()) && !router.last_store_call_failed());
     if !asks_store && take_from_peer(host).await {
         return Ok(());
     }
@@ -70,13 +74,13 @@
             take(host, &change.object);
         }
         point = news.point;
-        host.apply(Event::Proved(proved_at(asked)));
+        host.apply(Event::ConfigurationProved(proved_at(asked)));
         take_what_store_lost(host).await;
         if !news.changes.is_empty() {
             sleep(WATCH_PAUSE).await;
         }
     }
-    if host.look(Router::is_behind) {
+    if host.look(Router::is_configuration_outdated) {
         // A peer told of a version that nobody has.
         sleep(BEHIND_PAUSE).await;
     }
@@ -88,7 +92,7 @@
 /// Guards against a store that came back from an older copy: a host that reads it first would
 /// accept credentials that were withdrawn since, until operators have written again.
 async fn take_what_store_lost(host: &Host) {
-    if host.look(Router::is_behind) {
+    if host.look(Router::is_configuration_outdated) {
         take_from_peer(host).await;
     }
 }
@@ -104,7 +108,11 @@
 /// moment, as they come from the same hosts. Where the bound on a configuration leaves time,
 /// the first ones ask and tell the others.
 async fn wait_for_turn(host: &Host) {
-    let room = host.settings.bounds.converge.saturating_sub(QUICK_CONVERGE);
+    let room = host
+        .settings
+        .bounds
+        .convergence_limit
+        .saturating_sub(QUICK_CONVERGE);
     let until = Instant::now() + host.look(|router| turn(router, room));
     let has_waited = |router: &Router| {
         Instant::now() >= until || router.table().is_none() || !router.is_stale(boot_time())
@@ -113,8 +121,8 @@
 }
 
 fn turn(router: &Router, room: Duration) -> Duration {
-    let place = u32::try_from(router.watch_place(now())).unwrap_or(u32::MAX);
-    if router.asks_first(now()) || !router.is_stale(boot_time()) {
+    let place = u32::try_from(router.store_probe_rank(now())).unwrap_or(u32::MAX);
+    if router.probes_store_first(now()) || !router.is_stale(boot_time()) {
         return Duration::ZERO;
     }
     TURN.saturating_mul(place).min(room).min(LONGEST_TURN)
@@ -133,9 +141,9 @@
     if known_version(host) == word.version
         && let Some(at) = word.proved_at
     {
-        host.apply(Event::Vouched(at));
+        host.apply(Event::ConfirmedByPeer(at));
     }
-    let is_satisfied = !host.look(is_needed) && !host.look(Router::is_behind);
+    let is_satisfied = !host.look(is_needed) && !host.look(Router::is_configuration_outdated);
     // One that is newer still is asked for next.
     is_satisfied || known_version(host) > known
 }
@@ -148,7 +156,7 @@
     for object in &objects {
         take(host, object);
     }
-    host.apply(Event::Proved(asked_at));
+    host.apply(Event::ConfigurationProved(asked_at));
     Ok(point)
 }
 
@@ -176,7 +184,7 @@
                 log::info!(version, known; "configuration");
                 let table = Arc::new(RouteTable::new(configuration));
                 host.keep_configuration(object.clone());
-                host.apply(Event::Configured(table));
+                host.apply(Event::ConfigurationLoaded(table));
             }
         }
         Err(error) => {
--- a/crates/jaypin_entry/src/store/hosts.rs
+++ b/crates/jaypin_entry/src/store/hosts.rs
@@ -63,7 +63,7 @@
 
 fn hears_unlisted(host: &Host) -> bool {
     let now = Instant::now().into_std();
-    host.look(|router| router.hears_unlisted(now))
+    host.look(|router| router.has_unlisted_peer(now))
 }
 
 async fn join(host: &Host, client: &mut StoreClient<'_>) -> Result<(), StoreError> {
@@ -122,5 +122,5 @@
     });
     let hosts: Vec<_> = records.map(|it| (it.host, it.peers)).collect();
     log::info!(count = hosts.len(); "hosts listed");
-    host.apply(Event::HostsFound(hosts));
+    host.apply(Event::HostsListed(hosts));
 }
--- a/crates/jaypin_entry/src/store/mod.rs
+++ b/crates/jaypin_entry/src/store/mod.rs
@@ -68,10 +68,10 @@
 
 /// Longest pause before this host asks the store again.
 fn longest_retry(router: &Router) -> Duration {
-    let heard = u32::try_from(router.heard_peers(now()).count()).unwrap_or(u32::MAX);
+    let heard = u32::try_from(router.live_peers(now()).count()).unwrap_or(u32::MAX);
     let (for_each, longest) = if heard < LARGE_FLEET {
         (RETRY_FOR_EACH, LONGEST_RETRY)
-    } else if router.asks_first(now()) {
+    } else if router.probes_store_first(now()) {
         (RETRY_IN_LARGE_FLEET, LONGEST_FIRST_RETRY)
     } else {
         (RETRY_IN_LARGE_FLEET, LONGEST_RETRY)
@@ -107,7 +107,7 @@
     /// Logs a failed call, tells the decisions, and waits before the next.
     async fn pause_after(&mut self, host: &Host, what: &str, error: &StoreError) {
         log::warn!(what, error:%; "the store did not answer");
-        host.apply(jaypin_router::Event::StoreDisturbed);
+        host.apply(jaypin_router::Event::StoreCallFailed);
         let mut longest = host.look(longest_retry);
         if !self.has_ended_well {
             longest = longest.min(LONGEST_START_RETRY);
--- a/crates/jaypin_entry/src/store/rollouts.rs
+++ b/crates/jaypin_entry/src/store/rollouts.rs
@@ -103,7 +103,7 @@
 }
 
 fn take(host: &Host, order: RolloutOrder) {
-    host.apply(Event::RolloutTold(order));
+    host.apply(Event::RolloutOrderRead(order));
 }
 
 /// Writes states of orders until the host ends.
--- a/crates/jaypin_entry/tests/report_bytes.rs
+++ b/crates/jaypin_entry/tests/report_bytes.rs
@@ -119,7 +119,7 @@
         order: RolloutOrder {
             service: "engines".into(),
             to: "v2".into(),
-            time: Duration::from_secs(14),
+            time_limit: Duration::from_secs(14),
             point: StorePoint::new(3, 77),
             state: RolloutState::Running,
         },
--- a/crates/jaypin_router/src/lib.rs
+++ b/crates/jaypin_router/src/lib.rs
@@ -67,8 +67,9 @@
 pub use resend_budget::ResendBudget;
 pub use reserve::reserved_slots;
 pub use rollout::{
-    Evidence, Exposure, Outcome, OutcomeCounts, Rollout, RolloutOrder, RolloutState, RolloutWrite,
-    Rollouts, RouteKey, RouteOutcomes, SlowAnswers, VersionOutcomes, VersionRole, VersionTest,
+    Evidence, ExposureBudget, Outcome, OutcomeCounts, Rollout, RolloutOrder, RolloutState,
+    RolloutWrite, Rollouts, RouteKey, RouteOutcomes, SlowAnswerDetector, VersionOutcomes,
+    VersionRole, VersionTest,
 };
 pub use route_table::{RouteTable, Unrouted};
 pub use router::{Bounds, Effect, Event, ExposureBound, Router, RouterConfig, RouterCounts};
--- a/crates/jaypin_router/src/rollout/exposure.rs
+++ b/crates/jaypin_router/src/rollout/exposure.rs
@@ -13,13 +13,13 @@
 
 /// What a host may still send to a version under trial.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Exposure {
+pub struct ExposureBudget {
     share: f64,
     sampling: f64,
     kept: f64,
 }
 
-impl Exposure {
+impl ExposureBudget {
     /// Starts with a share of requests that is allowed, a `first` credit between 0 and 1,
     /// drawn at random so that hosts don't all begin at their tenth request, and requests that
     /// may be sent besides.
--- a/crates/jaypin_router/src/rollout/mod.rs
+++ b/crates/jaypin_router/src/rollout/mod.rs
@@ -13,10 +13,10 @@
 mod version_test;
 mod versions;
 
-pub use exposure::Exposure;
+pub use exposure::ExposureBudget;
 pub use order::{RolloutOrder, RolloutState};
 pub use outcomes::{Outcome, OutcomeCounts, RouteKey, RouteOutcomes, VersionOutcomes};
 pub use progress::{Rollout, RolloutWrite};
-pub use slow_answer::SlowAnswers;
+pub use slow_answer::SlowAnswerDetector;
 pub use version_test::{Evidence, VersionTest};
 pub use versions::{Rollouts, VersionRole};
--- a/crates/jaypin_router/src/rollout/order.rs
+++ b/crates/jaypin_router/src/rollout/order.rs
@@ -49,7 +49,7 @@
     /// The version.
     pub to: SoftwareVersion,
     /// Time within which it should be ended.
-    pub time: Duration,
+    pub time_limit: Duration,
     /// Of the order's last change, in the store's history; a greater one is newer.
     pub point: StorePoint,
     /// How far it is.
--- a/crates/jaypin_router/src/rollout/outcomes.rs
+++ b/crates/jaypin_router/src/rollout/outcomes.rs
@@ -167,7 +167,7 @@
 
     /// Failed answers of the version under trial.
     #[must_use]
-    pub fn new_bad(&self) -> u32 {
+    pub fn new_failures(&self) -> u32 {
         self.0.values().map(|it| it.new.bad).sum()
     }
 }
--- a/crates/jaypin_router/src/rollout/progress.rs
+++ b/crates/jaypin_router/src/rollout/progress.rs
@@ -5,7 +5,7 @@
 
 use jaypin_core::Incarnation;
 
-use super::{Evidence, Exposure, RolloutOrder, RolloutState, VersionOutcomes, VersionTest};
+use super::{Evidence, ExposureBudget, RolloutOrder, RolloutState, VersionOutcomes, VersionTest};
 use crate::{CellIndex, StorePoint};
 
 /// Part of the ordered time after which a version that is good takes over. The rest is left
@@ -35,7 +35,7 @@
     /// When it was first heard of, by anyone.
     pub started: Instant,
     /// What may be sent to the new version.
-    pub exposure: Exposure,
+    pub exposure: ExposureBudget,
     /// What this host saw.
     pub own: VersionOutcomes,
     /// When the order ended, as far as this host knows.
@@ -51,7 +51,7 @@
 impl Rollout {
     /// Begins with an order.
     #[must_use]
-    pub fn new(order: RolloutOrder, exposure: Exposure, now: Instant) -> Self {
+    pub fn new(order: RolloutOrder, exposure: ExposureBudget, now: Instant) -> Self {
         let ended = order.state.is_final().then_some(now);
         Self {
             order,
@@ -128,7 +128,7 @@
     /// When the new version takes over if it is good.
     #[must_use]
     pub fn take_over_at(&self) -> Instant {
-        self.started + self.order.time.mul_f64(TAKE_OVER_PART)
+        self.started + self.order.time_limit.mul_f64(TAKE_OVER_PART)
     }
 
     /// What a host of this cell saw in its run.
@@ -166,7 +166,7 @@
         if !self.is_trying() {
             return false;
         }
-        self.test.take(&self.fleet(), now);
+        self.test.update(&self.fleet(), now);
         self.is_bad = self.test.evidence().is_some();
         self.is_bad
     }
--- a/crates/jaypin_router/src/rollout/slow_answer.rs
+++ b/crates/jaypin_router/src/rollout/slow_answer.rs
@@ -20,11 +20,11 @@
 
 /// The limit of each route, followed from answer to answer.
 #[derive(Debug, Default)]
-pub struct SlowAnswers {
+pub struct SlowAnswerDetector {
     limits: HashMap<RouteKey, f64>,
 }
 
-impl SlowAnswers {
+impl SlowAnswerDetector {
     /// Whether an answer is slow that took so long to its first event, with so many prompt
     /// tokens; a `usual` one moves the limit.
     pub fn judge(&mut self, route: RouteKey, first: Duration, tokens: u32, usual: bool) -> bool {
--- a/crates/jaypin_router/src/rollout/version_test.rs
+++ b/crates/jaypin_router/src/rollout/version_test.rs
@@ -168,7 +168,7 @@
 
 impl VersionTest {
     /// Takes the fleet's totals.
-    pub fn take(&mut self, totals: &VersionOutcomes, now: Instant) {
+    pub fn update(&mut self, totals: &VersionOutcomes, now: Instant) {
         let mut added = Sums::default();
         for (route, outcomes) in totals.routes() {
             let test = self.routes.entry(route).or_default();
--- a/crates/jaypin_router/src/rollout/versions.rs
+++ b/crates/jaypin_router/src/rollout/versions.rs
@@ -5,7 +5,7 @@
 
 use jaypin_core::ServiceId;
 
-use super::{Exposure, Rollout, RolloutOrder, RolloutState};
+use super::{ExposureBudget, Rollout, RolloutOrder, RolloutState};
 use crate::{BackendRecord, BackendStatus, SoftwareVersion};
 
 /// What a version of a service may get.
@@ -55,7 +55,7 @@
         &mut self,
         order: RolloutOrder,
         age: Duration,
-        exposure: impl FnOnce() -> Exposure,
+        exposure: impl FnOnce() -> ExposureBudget,
         now: Instant,
     ) -> bool {
         let started = now.checked_sub(age).unwrap_or(now);
@@ -105,7 +105,7 @@
         &mut self,
         order: RolloutOrder,
         started: Instant,
-        exposure: impl FnOnce() -> Exposure,
+        exposure: impl FnOnce() -> ExposureBudget,
         now: Instant,
     ) -> bool {
         let service = order.service.clone();
--- a/crates/jaypin_router/src/router/arrival.rs
+++ b/crates/jaypin_router/src/router/arrival.rs
@@ -67,7 +67,7 @@
             Err(reason) => fx.push(Effect::Reject {
                 number,
                 reason,
-                grounds,
+                inputs: grounds,
             }),
         }
     }
@@ -226,7 +226,7 @@
         number,
         asked_by,
         refusal,
-        grounds,
+        inputs: grounds,
     }
 }
 
--- a/crates/jaypin_router/src/router/attempt.rs
+++ b/crates/jaypin_router/src/router/attempt.rs
@@ -145,7 +145,7 @@
         }
         let grounds = call_grounds(&request.admitted);
         let reason = match outcome {
-            AttemptOutcome::Failed => return fx.push(Effect::PassOn(number)),
+            AttemptOutcome::Failed => return fx.push(Effect::ForwardFailure(number)),
             AttemptOutcome::TimedOut => Reason::TooLate,
             _ => Reason::BackendLost,
         };
--- a/crates/jaypin_router/src/router/event.rs
+++ b/crates/jaypin_router/src/router/event.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bounds {
     /// Longest time for which a withdrawn credential may still be accepted.
-    pub revoke: Duration,
+    pub revocation_limit: Duration,
     /// Window over which the use of quotas is counted.
     pub quota_window: Duration,
     /// Units by which an account may exceed its quota in such a window.
@@ -28,9 +28,9 @@
     /// Such sends in a window besides, over the whole fleet.
     pub resend_allowance: f64,
     /// Time within which a configuration has to be in force.
-    pub converge: Duration,
+    pub convergence_limit: Duration,
     /// Time that a host has to finish once it is told to leave.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// What a version under trial may get; without it versions are not told apart.
     pub exposure: Option<ExposureBound>,
 }
@@ -50,11 +50,11 @@
     /// This host.
     pub host: HostId,
     /// Number of this run, drawn at random.
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     /// Where this host takes reports.
-    pub address: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where the host stands.
     pub failure_domain: FailureDomain,
     /// Seed of all random choices.
@@ -67,13 +67,13 @@
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A version of the configuration was read.
-    Configured(Arc<RouteTable>),
+    ConfigurationLoaded(Arc<RouteTable>),
     /// What is known of the configuration was the newest at this time.
-    Proved(BootTime),
+    ConfigurationProved(BootTime),
     /// A peer that has the same configuration said that it was the newest at this time.
-    Vouched(BootTime),
+    ConfirmedByPeer(BootTime),
     /// The platform's store did not answer as it should.
-    StoreDisturbed,
+    StoreCallFailed,
     /// The platform's store stated its era.
     StoreEra(StoreEra),
     /// All entries of backend servers were read, each with the point of its last change.
@@ -86,11 +86,11 @@
     /// The entry of a backend server changed.
     BackendChanged(EntryChange),
     /// A peer handed over all entries that it knows.
-    EntriesHanded(Vec<EntryChange>),
+    EntriesTransferred(Vec<EntryChange>),
     /// A request was read whole.
     Arrived(Arrival),
     /// The header of a call's answer came.
-    Signalled {
+    HeaderReceived {
         /// The request.
         number: RequestNumber,
         /// What it says of the backend server.
@@ -99,7 +99,7 @@
         backoff: Option<Duration>,
     },
     /// The first event or the whole answer of a call came.
-    Answered(RequestNumber),
+    ResponseStarted(RequestNumber),
     /// Events of a stream came, behind its first one or those that were told before.
     Streamed {
         /// The request.
@@ -110,25 +110,25 @@
         time: Duration,
     },
     /// A call ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         number: RequestNumber,
         /// How it ended.
         outcome: AttemptOutcome,
     },
     /// The caller of a request that was not sent left.
-    CallerGone(RequestNumber),
+    CallerDisconnected(RequestNumber),
     /// All hosts that are registered, each with where it takes reports; some may be gone.
-    HostsFound(Vec<(HostId, SocketAddr)>),
+    HostsListed(Vec<(HostId, SocketAddr)>),
     /// A peer reported.
-    Reported {
+    ReportReceived {
         /// What it said.
         report: Box<Report>,
         /// Now, on the clock that counts suspended time.
         boot_time: BootTime,
     },
     /// The store was read or written and has this order for a new version of a service.
-    RolloutTold(RolloutOrder),
+    RolloutOrderRead(RolloutOrder),
     /// The host shall finish what it has and leave.
     Drain,
     /// Time went on, also on the clock that counts suspended time.
@@ -152,14 +152,14 @@
         repeat: crate::Repeat,
         /// Time after which a call without a first event is given up, if it may be sent
         /// again.
-        silence: Option<Duration>,
+        first_event_timeout: Option<Duration>,
         /// Pause between two events after which the stream is given up, if another backend
         /// server may go on with it.
-        longest_pause: Option<Duration>,
+        stall_timeout: Option<Duration>,
         /// When the whole answer is due.
         deadline: Instant,
         /// What the choice rests on.
-        grounds: DecisionInputs,
+        inputs: DecisionInputs,
     },
     /// Answer that the configuration does not allow the request.
     Reject {
@@ -168,7 +168,7 @@
         /// What it does not allow.
         reason: Unrouted,
         /// What that rests on.
-        grounds: DecisionInputs,
+        inputs: DecisionInputs,
     },
     /// Answer with a refusal.
     Refuse {
@@ -179,14 +179,14 @@
         /// The answer.
         refusal: Refusal,
         /// What it rests on.
-        grounds: DecisionInputs,
+        inputs: DecisionInputs,
     },
     /// Answer with the failure that a backend server gave.
-    PassOn(RequestNumber),
+    ForwardFailure(RequestNumber),
     /// Write the state of an order to the store, if it has the order's revision.
     WriteRollout(RolloutWrite),
     /// Tell a report to these hosts.
-    Tell {
+    SendReport {
         /// Their addresses.
         to: Vec<SocketAddr>,
         /// The report.
--- a/crates/jaypin_router/src/router/knowledge.rs
+++ b/crates/jaypin_router/src/router/knowledge.rs
@@ -52,7 +52,7 @@
     /// Guards against a host that goes on accepting a withdrawn credential because it is
     /// cut off from the store, or was suspended: suspended time counts on this clock.
     pub(super) fn is_proved(&self, boot_time: BootTime) -> bool {
-        let limit = self.cfg.bounds.revoke.mul_f64(PROOF_PART);
+        let limit = self.cfg.bounds.revocation_limit.mul_f64(PROOF_PART);
         let age = self.proof_age(boot_time);
         self.table.is_some() && age.is_some_and(|age| age < limit)
     }
@@ -113,7 +113,7 @@
     }
 
     pub(super) fn reported(&mut self, now: Instant, report: Report, boot_time: BootTime) {
-        if report.run == self.cfg.run {
+        if report.run == self.cfg.incarnation {
             return;
         }
         self.heard_of_store(&report, now, boot_time);
--- a/crates/jaypin_router/src/router/mod.rs
+++ b/crates/jaypin_router/src/router/mod.rs
@@ -29,7 +29,7 @@
 use crate::{
     AccountArrivals, ArrivalRates, Backend, BackendSignals, BackendSubsets, BackendTable, BootTime,
     CellIndex, Entries, Fleet, FleetQuota, MinimumShares, PeerLoads, RequestNumber, ResendBudget,
-    Rollouts, RouteTable, SignalTable, Sizes, SlowAnswers, WaitingList,
+    Rollouts, RouteTable, SignalTable, Sizes, SlowAnswerDetector, WaitingList,
 };
 use lapse::Vanished;
 use store_era::KnownEra;
@@ -62,7 +62,7 @@
     /// The same for backend servers with a version under trial.
     trial_views: BackendSubsets,
     rollouts: Rollouts,
-    slow_answers: SlowAnswers,
+    slow_answers: SlowAnswerDetector,
     backends: BackendTable,
     signals: SignalTable,
     vanished: Vanished,
@@ -109,7 +109,7 @@
             views: BackendSubsets::default(),
             trial_views: BackendSubsets::default(),
             rollouts: Rollouts::default(),
-            slow_answers: SlowAnswers::default(),
+            slow_answers: SlowAnswerDetector::default(),
             backends: BackendTable::default(),
             signals: SignalTable::default(),
             vanished: Vanished::default(),
@@ -144,33 +144,33 @@
         let mut fx = Vec::new();
         self.started_at.get_or_insert(now);
         match event {
-            Event::Configured(table) => self.configured(table, now),
-            Event::Proved(at) => self.proved(at),
-            Event::Vouched(at) => self.vouched(at),
-            Event::StoreDisturbed => self.store_disturbed(now),
+            Event::ConfigurationLoaded(table) => self.configured(table, now),
+            Event::ConfigurationProved(at) => self.proved(at),
+            Event::ConfirmedByPeer(at) => self.vouched(at),
+            Event::StoreCallFailed => self.store_disturbed(now),
             Event::BackendsListed { entries, point } => {
                 self.backends_listed(entries, point, now);
             }
             Event::StoreEra(era) => self.store_stated_era(era, now),
             Event::BackendChanged(change) => self.backend_told(change, now),
-            Event::EntriesHanded(entries) => self.entries_handed(entries, now),
+            Event::EntriesTransferred(entries) => self.entries_handed(entries, now),
             Event::Arrived(arrival) => self.arrived(now, &arrival, &mut fx),
-            Event::Signalled {
+            Event::HeaderReceived {
                 number,
                 signals,
                 backoff,
             } => self.signalled(now, number, signals, backoff),
-            Event::Answered(number) => self.answered(now, number),
+            Event::ResponseStarted(number) => self.answered(now, number),
             Event::Streamed {
                 number,
                 events,
                 time,
             } => self.streamed(number, events, time),
-            Event::Ended { number, outcome } => self.ended(now, number, outcome, &mut fx),
-            Event::CallerGone(number) => self.caller_gone(number),
-            Event::HostsFound(hosts) => self.hosts_found(hosts, now),
-            Event::Reported { report, boot_time } => self.reported(now, *report, boot_time),
-            Event::RolloutTold(order) => self.rollout_told(order, now),
+            Event::AttemptEnded { number, outcome } => self.ended(now, number, outcome, &mut fx),
+            Event::CallerDisconnected(number) => self.caller_gone(number),
+            Event::HostsListed(hosts) => self.hosts_found(hosts, now),
+            Event::ReportReceived { report, boot_time } => self.reported(now, *report, boot_time),
+            Event::RolloutOrderRead(order) => self.rollout_told(order, now),
             Event::Drain => self.drain(now, &mut fx),
             Event::Tick(boot_time) => self.tick(now, boot_time, &mut fx),
         }
@@ -219,7 +219,7 @@
     /// Whether a request that was chosen for a backend server may still be sent there: it may
     /// have said something since.
     #[must_use]
-    pub fn still_takes(&self, backend: &str, now: Instant) -> bool {
+    pub fn still_accepts(&self, backend: &str, now: Instant) -> bool {
         let backend = self.backends.get(backend);
         backend.is_some_and(|it| it.is_ready() && !it.is_backing_off(now))
     }
@@ -229,7 +229,7 @@
     }
 
     /// Peers that were heard lately.
-    pub fn heard_peers(&self, now: Instant) -> impl Iterator<Item = &HostId> {
+    pub fn live_peers(&self, now: Instant) -> impl Iterator<Item = &HostId> {
         self.fleet.live_peers(now).map(|(host, _)| host)
     }
 
@@ -239,7 +239,7 @@
         let ready = self.fleet.live_peers(now).filter(|(_, peer)| peer.is_ready);
         let mut addresses: Vec<_> = ready.map(|(_, peer)| peer.callers).collect();
         if self.is_ready(boot_time) {
-            addresses.push(self.cfg.callers);
+            addresses.push(self.cfg.caller_address);
         }
         addresses.extend(self.fleet.other_cell_callers(now));
         addresses.sort_unstable();
--- a/crates/jaypin_router/src/router/placing.rs
+++ b/crates/jaypin_router/src/router/placing.rs
@@ -232,10 +232,10 @@
             address: record.address,
             asked_by: admitted.requester(),
             repeat: admitted.route.repeat,
-            silence: first_event_timeout(admitted, &choice),
-            longest_pause: longest_pause(&admitted.route),
+            first_event_timeout: first_event_timeout(admitted, &choice),
+            stall_timeout: longest_pause(&admitted.route),
             deadline: admitted.deadline,
-            grounds,
+            inputs: grounds,
         });
         let sent = request.send(Sent {
             backend: choice.backend,
@@ -259,7 +259,7 @@
         let admitted = &request.admitted;
         let number = admitted.number;
         if admitted.possible_runs > 0 {
-            return fx.push(Effect::PassOn(number));
+            return fx.push(Effect::ForwardFailure(number));
         }
         self.give_back(admitted);
         let back = capacity_retry_after(&admitted.route, &mut self.rng);
--- a/crates/jaypin_router/src/router/rollouts.rs
+++ b/crates/jaypin_router/src/router/rollouts.rs
@@ -11,8 +11,8 @@
 use crate::limits::slot_wait_limit;
 use crate::request::{Admitted, Request, Sent};
 use crate::{
-    AttemptOutcome, Backend, BackendRecord, BackendSubsets, BootTime, Choice, Exposure, Outcome,
-    Repeat, Report, RolloutOrder, RolloutReport, SoftwareVersion, VersionRole, best_place,
+    AttemptOutcome, Backend, BackendRecord, BackendSubsets, BootTime, Choice, ExposureBudget,
+    Outcome, Repeat, Report, RolloutOrder, RolloutReport, SoftwareVersion, VersionRole, best_place,
     route_key,
 };
 
@@ -42,7 +42,7 @@
         let hosts = f64::from(hosts) * f64::from(self.cells);
         let kept = SLACK_PART * bound.slack / hosts;
         let first = self.rng.random_range(0.0..1.0);
-        let exposure = || Exposure::new(bound.share, first, kept);
+        let exposure = || ExposureBudget::new(bound.share, first, kept);
         if self.rollouts.take(order, age, exposure, now) {
             self.versions_changed();
         }
--- a/crates/jaypin_router/src/router/snapshot.rs
+++ b/crates/jaypin_router/src/router/snapshot.rs
@@ -37,13 +37,13 @@
 
     /// Whether a host that the store lists has this address.
     #[must_use]
-    pub fn is_host(&self, address: IpAddr) -> bool {
+    pub fn is_registered_host(&self, address: IpAddr) -> bool {
         self.telling.has_registered(address)
     }
 
     /// Whether a peer is heard that the store did not list when it was asked last.
     #[must_use]
-    pub fn hears_unlisted(&self, now: Instant) -> bool {
+    pub fn has_unlisted_peer(&self, now: Instant) -> bool {
         let mut heard = self.fleet.live_peers(now);
         heard.any(|(_, peer)| !self.telling.is_registered(&peer.address))
     }
--- a/crates/jaypin_router/src/router/telling.rs
+++ b/crates/jaypin_router/src/router/telling.rs
@@ -197,7 +197,7 @@
             whole,
             ..self.empty_report()
         });
-        fx.push(Effect::Tell { to, report });
+        fx.push(Effect::SendReport { to, report });
     }
 
     /// A report that says nothing yet.
@@ -205,7 +205,7 @@
         self.telling.sequence += 1;
         Report {
             host: host_key(&self.cfg.host),
-            run: self.cfg.run,
+            run: self.cfg.incarnation,
             sequence: self.telling.sequence,
             is_ready: self.was_ready,
             loads: Vec::new(),
@@ -243,8 +243,8 @@
         });
         WholeReport {
             host: self.cfg.host.clone(),
-            address: self.cfg.address,
-            callers: self.cfg.callers,
+            address: self.cfg.peer_address,
+            callers: self.cfg.caller_address,
             failure_domain: self.cfg.failure_domain.clone(),
             cell: self.cell,
             sent_at: boot_time,
@@ -296,7 +296,7 @@
 
     /// Drops hosts that were silent for long.
     pub(super) fn refresh_found(&mut self, now: Instant) {
-        let own = self.cfg.address;
+        let own = self.cfg.peer_address;
         let heard: BTreeSet<_> = self
             .fleet
             .live_peers(now)
@@ -332,7 +332,7 @@
             .collect();
         let ready = self.fleet.live_peers(now).filter(|(_, peer)| peer.is_ready);
         let mut callers: Vec<_> = ready.map(|(_, peer)| peer.callers).collect();
-        callers.extend(self.was_ready.then_some(self.cfg.callers));
+        callers.extend(self.was_ready.then_some(self.cfg.caller_address));
         let whole = WholeReport {
             cell_callers: Some(callers),
             rollouts: self.rollouts_to_tell(now, true),
@@ -343,6 +343,6 @@
             whole: Some(whole),
             ..self.empty_report()
         });
-        fx.push(Effect::Tell { to, report });
+        fx.push(Effect::SendReport { to, report });
     }
 }
--- a/crates/jaypin_router/src/router/telling_loads.rs
+++ b/crates/jaypin_router/src/router/telling_loads.rs
@@ -164,7 +164,7 @@
         by_hearers.remove(&Vec::new());
         for (to, keys) in by_hearers {
             let report = Box::new(self.load_report(&keys, now));
-            fx.push(Effect::Tell { to, report });
+            fx.push(Effect::SendReport { to, report });
         }
     }
 
--- a/crates/jaypin_router/src/router/watching.rs
+++ b/crates/jaypin_router/src/router/watching.rs
@@ -54,13 +54,13 @@
 impl Router {
     /// Whether the last call to the store gave nothing.
     #[must_use]
-    pub fn is_turned_away(&self) -> bool {
+    pub fn last_store_call_failed(&self) -> bool {
         self.is_turned_away
     }
 
     /// Hosts that go before this one when the store is asked whether it is back.
     #[must_use]
-    pub fn watch_place(&self, now: Instant) -> usize {
+    pub fn store_probe_rank(&self, now: Instant) -> usize {
         let own = score(WATCH_ORDER, &self.cfg.host);
         let heard = self.fleet.live_peers(now);
         let before = heard.filter(|(host, _)| score(WATCH_ORDER, host) > own);
@@ -69,8 +69,8 @@
 
     /// Whether this host goes first when the store is asked whether it is back.
     #[must_use]
-    pub fn asks_first(&self, now: Instant) -> bool {
-        self.watch_place(now) < WATCHERS
+    pub fn probes_store_first(&self, now: Instant) -> bool {
+        self.store_probe_rank(now) < WATCHERS
     }
 
     /// Whether the configuration was the newest a short time ago, by this host's own word or
@@ -109,7 +109,7 @@
 
     /// Whether a peer knows a newer configuration.
     #[must_use]
-    pub fn is_behind(&self) -> bool {
+    pub fn is_configuration_outdated(&self) -> bool {
         self.heard.newest_version > self.version()
     }
 
@@ -125,7 +125,7 @@
 
     /// Whether this host has known other entries than a watcher for too long.
     #[must_use]
-    pub fn has_other_entries(&self, now: Instant) -> bool {
+    pub fn has_diverging_entries(&self, now: Instant) -> bool {
         let since = self.heard.different_since;
         since.is_some_and(|at| now.saturating_duration_since(at) >= DIFFERENT_FOR)
     }
--- a/crates/jaypin_router/tests/answer_time.rs
+++ b/crates/jaypin_router/tests/answer_time.rs
@@ -97,7 +97,7 @@
     bed.wait(Duration::from_millis(10));
     fx.extend(bed.tick());
     let told = fx.iter().any(|effect| match effect {
-        Effect::Tell { report, .. } => report.samples.iter().any(|it| it.events > 0.0),
+        Effect::SendReport { report, .. } => report.samples.iter().any(|it| it.events > 0.0),
         _ => false,
     });
     assert!(told, "{fx:?}");
--- a/crates/jaypin_router/tests/attempts.rs
+++ b/crates/jaypin_router/tests/attempts.rs
@@ -141,7 +141,10 @@
     let pauses = |bed: &mut Bed, path: &str| {
         let fx = bed.arrive_fx(path, (600, 300));
         fx.iter().find_map(|effect| match effect {
-            Effect::Send { longest_pause, .. } => Some(*longest_pause),
+            Effect::Send {
+                stall_timeout: longest_pause,
+                ..
+            } => Some(*longest_pause),
             _ => None,
         })
     };
--- a/crates/jaypin_router/tests/common/fleet.rs
+++ b/crates/jaypin_router/tests/common/fleet.rs
@@ -162,10 +162,10 @@
         self.hosts[n].boot = boot;
         let all = (0..self.hosts.len()).map(|it| (name(it), address(7_000 + port(it))));
         let all = all.collect();
-        self.apply(n, Event::HostsFound(all));
+        self.apply(n, Event::HostsListed(all));
         let table = Arc::new(RouteTable::new(self.configuration.clone()));
-        self.apply(n, Event::Configured(table));
-        self.apply(n, Event::Proved(boot));
+        self.apply(n, Event::ConfigurationLoaded(table));
+        self.apply(n, Event::ConfigurationProved(boot));
         for record in self.records.clone() {
             let change = EntryChange::Stated {
                 record,
@@ -190,7 +190,7 @@
 
     fn carry_out(&mut self, n: usize, effect: Effect) {
         match effect {
-            Effect::Tell { to, report } => {
+            Effect::SendReport { to, report } => {
                 for address in to {
                     if self.rng.random_range(0.0..1.0) < self.loss {
                         continue;
@@ -251,27 +251,31 @@
         let due: Vec<_> = host.coming.extract_if(.., |it| it.0 <= now).collect();
         for (_, coming) in due {
             match coming {
-                Coming::Report(report) => self.apply(n, Event::Reported { report, boot_time }),
+                Coming::Report(report) => {
+                    self.apply(n, Event::ReportReceived { report, boot_time })
+                }
                 Coming::Header(number, backend, answer) => {
                     self.backends.told(n, &backend, &answer, now);
                     self.apply(
                         n,
-                        Event::Signalled {
+                        Event::HeaderReceived {
                             number,
                             signals: answer.signals,
                             backoff: answer.backoff,
                         },
                     );
                     if answer.outcome == AttemptOutcome::Complete {
-                        self.apply(n, Event::Answered(number));
+                        self.apply(n, Event::ResponseStarted(number));
                     }
                 }
-                Coming::End(number, outcome) => self.apply(n, Event::Ended { number, outcome }),
+                Coming::End(number, outcome) => {
+                    self.apply(n, Event::AttemptEnded { number, outcome })
+                }
             }
         }
         let since = now - self.start;
         if since.as_millis().is_multiple_of(PROOF_PAUSE.as_millis()) {
-            self.apply(n, Event::Proved(boot_time));
+            self.apply(n, Event::ConfigurationProved(boot_time));
         }
         self.apply(n, Event::Tick(boot_time));
     }
@@ -315,9 +319,9 @@
     Host {
         router: Router::new(RouterConfig {
             host: name(n),
-            run: seed ^ (u64::from(port(n)) << 32),
-            address: address(7_000 + port(n)),
-            callers: address(8_000 + port(n)),
+            incarnation: seed ^ (u64::from(port(n)) << 32),
+            peer_address: address(7_000 + port(n)),
+            caller_address: address(8_000 + port(n)),
             failure_domain: "a".into(),
             seed,
             bounds: bounds(),
--- a/crates/jaypin_router/tests/common/mod.rs
+++ b/crates/jaypin_router/tests/common/mod.rs
@@ -184,14 +184,14 @@
 /// Bounds as operators of today state them.
 pub fn bounds() -> Bounds {
     Bounds {
-        revoke: Duration::from_secs(5),
+        revocation_limit: Duration::from_secs(5),
         quota_window: Duration::from_secs(8),
         quota_slack: 0.0,
         resend_window: Duration::from_secs(10),
         resend_ratio: 0.2,
         resend_allowance: 113.0,
-        converge: Duration::from_secs(2),
-        grace: Duration::from_secs(8),
+        convergence_limit: Duration::from_secs(2),
+        shutdown_grace: Duration::from_secs(8),
         exposure: None,
     }
 }
@@ -200,7 +200,7 @@
     /// Starts with a configuration that is proved, alone in its fleet, and no backend server.
     pub fn new(configuration: Configuration) -> Self {
         let mut bed = Self::unconfigured();
-        bed.apply(Event::HostsFound(Vec::new()));
+        bed.apply(Event::HostsListed(Vec::new()));
         bed.configure(configuration);
         bed.prove();
         bed.tick();
@@ -222,16 +222,16 @@
         let mut bounds = bounds();
         change(&mut bounds);
         let mut bed = Self::with(1, bounds);
-        bed.apply(Event::HostsFound(Vec::new()));
+        bed.apply(Event::HostsListed(Vec::new()));
         bed
     }
 
     fn with(number: u16, bounds: Bounds) -> Self {
         let router = Router::new(RouterConfig {
             host: format!("host-{number}").as_str().into(),
-            run: number.into(),
-            address: address(7_000 + number),
-            callers: address(8_000 + number),
+            incarnation: number.into(),
+            peer_address: address(7_000 + number),
+            caller_address: address(8_000 + number),
             failure_domain: "a".into(),
             seed: 7,
             bounds,
@@ -259,7 +259,7 @@
 
     /// Hears a report.
     pub fn hear_report(&mut self, report: Report) -> Vec<Effect> {
-        self.apply(Event::Reported {
+        self.apply(Event::ReportReceived {
             report: Box::new(report),
             boot_time: self.boot,
         })
@@ -273,12 +273,12 @@
     /// Reads a configuration.
     pub fn configure(&mut self, configuration: Configuration) {
         let table = Arc::new(RouteTable::new(configuration));
-        self.apply(Event::Configured(table));
+        self.apply(Event::ConfigurationLoaded(table));
     }
 
     /// Proves that it is the newest.
     pub fn prove(&mut self) {
-        self.apply(Event::Proved(self.boot));
+        self.apply(Event::ConfigurationProved(self.boot));
     }
 
     /// A backend server states something.
@@ -367,12 +367,12 @@
 
     /// A call's first event comes.
     pub fn answered(&mut self, number: RequestNumber) {
-        self.apply(Event::Answered(number));
+        self.apply(Event::ResponseStarted(number));
     }
 
     /// A call ends.
     pub fn ended(&mut self, number: RequestNumber, outcome: AttemptOutcome) -> Told {
-        let fx = self.apply(Event::Ended { number, outcome });
+        let fx = self.apply(Event::AttemptEnded { number, outcome });
         told(&fx, number)
     }
 }
@@ -393,7 +393,7 @@
         Effect::Reject {
             number: of, reason, ..
         } if *of == number => Some(Told::Rejected(*reason)),
-        Effect::PassOn(of) if *of == number => Some(Told::PassedOn),
+        Effect::ForwardFailure(of) if *of == number => Some(Told::PassedOn),
         _ => None,
     });
     let first = words.next();
@@ -422,7 +422,9 @@
 /// What the first refusal among some effects rests on, as a log says it.
 pub fn refusal_grounds(fx: &[Effect]) -> String {
     let mut grounds = fx.iter().filter_map(|effect| match effect {
-        Effect::Refuse { grounds, .. } => Some(grounds.to_string()),
+        Effect::Refuse {
+            inputs: grounds, ..
+        } => Some(grounds.to_string()),
         _ => None,
     });
     grounds.next().expect("a refusal")
--- a/crates/jaypin_router/tests/heavy_days.rs
+++ b/crates/jaypin_router/tests/heavy_days.rs
@@ -134,7 +134,7 @@
     let (second, told) = bed.arrive("/ask/1", (600, 300));
     assert_eq!(told, Told::Waits);
     bed.wait(Duration::from_millis(10));
-    let fx = bed.apply(Event::Ended {
+    let fx = bed.apply(Event::AttemptEnded {
         number: first,
         outcome: AttemptOutcome::Complete,
     });
@@ -266,7 +266,7 @@
     bed.wait(Duration::from_millis(10));
     fx.extend(bed.tick());
     let mut loads = fx.iter().filter_map(|effect| match effect {
-        Effect::Tell { report, .. } => Some(report.loads.clone()),
+        Effect::SendReport { report, .. } => Some(report.loads.clone()),
         _ => None,
     });
     let load = BackendLoad {
--- a/crates/jaypin_router/tests/lapse.rs
+++ b/crates/jaypin_router/tests/lapse.rs
@@ -28,7 +28,7 @@
 #[test]
 fn an_entry_that_a_watch_tells_as_removed_is_dropped_at_once() {
     let (mut bed, _) = bed(1);
-    bed.apply(Event::StoreDisturbed);
+    bed.apply(Event::StoreCallFailed);
     bed.wait(Duration::from_millis(1_900));
     bed.remove("engine-000");
     assert!(!is_served(&mut bed));
@@ -71,7 +71,7 @@
 #[test]
 fn a_listing_right_after_an_outage_may_lack_live_entries() {
     let (mut bed, _) = bed(4);
-    bed.apply(Event::StoreDisturbed);
+    bed.apply(Event::StoreCallFailed);
     bed.wait(Duration::from_millis(400));
     bed.list(Vec::new());
     assert!(is_served(&mut bed));
@@ -95,7 +95,7 @@
     let mut leaving = record("engine-000", ENGINES, 9);
     leaving.status = BackendStatus::Leaving;
     bed.state(leaving);
-    bed.apply(Event::StoreDisturbed);
+    bed.apply(Event::StoreCallFailed);
     bed.list(Vec::new());
     let (number, told) = bed.arrive("/ask/1", (10, 10));
     assert_eq!(told, Told::Waits);
--- a/crates/jaypin_router/tests/learning.rs
+++ b/crates/jaypin_router/tests/learning.rs
@@ -13,14 +13,14 @@
     bed.wait(Duration::from_millis(30));
     bed.answered(number);
     let outcome = AttemptOutcome::Complete;
-    let mut fx = bed.apply(Event::Ended { number, outcome });
+    let mut fx = bed.apply(Event::AttemptEnded { number, outcome });
     let end = bed.now + time;
     while bed.now < end {
         bed.wait(Duration::from_millis(50));
         fx.extend(bed.tick());
     }
     let samples = fx.into_iter().filter_map(|effect| match effect {
-        Effect::Tell { report, .. } => Some(report.samples),
+        Effect::SendReport { report, .. } => Some(report.samples),
         _ => None,
     });
     samples.flatten().collect()
--- a/crates/jaypin_router/tests/leaving_backends.rs
+++ b/crates/jaypin_router/tests/leaving_backends.rs
@@ -32,7 +32,7 @@
             bed.ended(number, AttemptOutcome::Complete);
             continue;
         }
-        bed.apply(Event::Signalled {
+        bed.apply(Event::HeaderReceived {
             number,
             signals: LEAVING,
             backoff: None,
@@ -94,7 +94,7 @@
     };
     an_answer_without_the_word_changes_nothing: |bed: &mut Bed| {
         let signals = BackendSignals::default();
-        bed.apply(Event::Signalled { number: 1, signals, backoff: None });
+        bed.apply(Event::HeaderReceived { number: 1, signals, backoff: None });
     };
 }
 
--- a/crates/jaypin_router/tests/proof.rs
+++ b/crates/jaypin_router/tests/proof.rs
@@ -135,7 +135,7 @@
         let clock = bed.boot + ahead;
         let report = watcher_report(sequence, clock.saturating_sub(error), clock);
         let boot_time = bed.boot;
-        bed.apply(Event::Reported {
+        bed.apply(Event::ReportReceived {
             report: Box::new(report),
             boot_time,
         });
@@ -175,9 +175,9 @@
 #[test]
 fn nothing_is_reported_before_the_clock_was_read() {
     let mut bed = Bed::unconfigured();
-    let found = Event::HostsFound(vec![("host-2".into(), common::address(7_002))]);
+    let found = Event::HostsListed(vec![("host-2".into(), common::address(7_002))]);
     assert_eq!(bed.apply(found), []);
-    assert!(matches!(bed.tick()[..], [Effect::Tell { .. }]));
+    assert!(matches!(bed.tick()[..], [Effect::SendReport { .. }]));
 }
 
 /// A caller is refused by a host that the store turned away. Whoever looks into it must see
@@ -188,7 +188,9 @@
     bed.wait(Duration::from_secs(5));
     let grounds = bed.arrive_fx("/ask/1", (600, 300));
     let grounds = grounds.into_iter().find_map(|effect| match effect {
-        Effect::Refuse { grounds, .. } => Some(grounds.to_string()),
+        Effect::Refuse {
+            inputs: grounds, ..
+        } => Some(grounds.to_string()),
         _ => None,
     });
     insta::assert_snapshot!(grounds.expect("a refusal"), @"configuration 1, proved 5000 ms ago");
--- a/crates/jaypin_router/tests/quota_at_start.rs
+++ b/crates/jaypin_router/tests/quota_at_start.rs
@@ -33,7 +33,7 @@
 fn find(bed: &mut Bed, others: std::ops::Range<u16>) {
     let wholes = others.map(common::whole);
     let hosts = wholes.map(|it| (it.host, it.address));
-    bed.apply(Event::HostsFound(hosts.collect()));
+    bed.apply(Event::HostsListed(hosts.collect()));
 }
 
 /// Presses with more requests than any quota allows; gives the units that were taken.
--- a/crates/jaypin_router/tests/requested_backoff.rs
+++ b/crates/jaypin_router/tests/requested_backoff.rs
@@ -25,7 +25,7 @@
             bed.ended(number, AttemptOutcome::Complete);
             continue;
         }
-        bed.apply(Event::Signalled {
+        bed.apply(Event::HeaderReceived {
             number,
             signals: BackendSignals::default(),
             backoff: Some(backoff),
@@ -90,7 +90,7 @@
     let calls: Vec<_> = all.iter().filter(|it| there(&it.1)).take(2).collect();
     assert_eq!(calls.len(), 2);
     for (call, backoff) in calls.iter().zip([BACKOFF, Duration::from_millis(100)]) {
-        bed.apply(Event::Signalled {
+        bed.apply(Event::HeaderReceived {
             number: call.0,
             signals: BackendSignals::default(),
             backoff: Some(backoff),
@@ -148,13 +148,13 @@
     let all: Vec<_> = (0..10).map(|_| bed.arrive("/command/x", (0, 0))).collect();
     let there = |it: &&(u64, Told)| it.1 == Told::Sent("plain-1".into());
     let calls: Vec<_> = all.iter().filter(there).collect();
-    assert!(bed.router.still_takes("plain-1", bed.now));
-    bed.apply(Event::Signalled {
+    assert!(bed.router.still_accepts("plain-1", bed.now));
+    bed.apply(Event::HeaderReceived {
         number: calls[0].0,
         signals: BackendSignals::default(),
         backoff: Some(BACKOFF),
     });
-    assert!(!bed.router.still_takes("plain-1", bed.now));
+    assert!(!bed.router.still_accepts("plain-1", bed.now));
     for (number, _) in &calls[1..] {
         // No byte was sent, so also a command may go elsewhere.
         let told = bed.ended(*number, AttemptOutcome::Withheld);
--- a/crates/jaypin_router/tests/rollout_fleet/fleet.rs
+++ b/crates/jaypin_router/tests/rollout_fleet/fleet.rs
@@ -135,15 +135,15 @@
             .collect();
         self.hosts[n] = host(n, seed);
         let table = Arc::new(RouteTable::new(configuration(1)));
-        self.apply(n, Event::HostsFound(all));
-        self.apply(n, Event::Configured(table));
-        self.apply(n, Event::Proved(self.boot(n)));
+        self.apply(n, Event::HostsListed(all));
+        self.apply(n, Event::ConfigurationLoaded(table));
+        self.apply(n, Event::ConfigurationProved(self.boot(n)));
         for (id, version) in self.backends() {
             let change = stated(&id, version);
             self.apply(n, Event::BackendChanged(change));
         }
         if self.is_ordered {
-            self.apply(n, Event::RolloutTold(self.store.clone()));
+            self.apply(n, Event::RolloutOrderRead(self.store.clone()));
         }
     }
 
@@ -172,7 +172,7 @@
     fn carry_out(&mut self, n: usize, effect: Effect) {
         let at = self.now + DELAY;
         match effect {
-            Effect::Tell { to, report } if !self.hosts[n].is_cut => {
+            Effect::SendReport { to, report } if !self.hosts[n].is_cut => {
                 for address in to {
                     let peer = usize::from(address.port() - 7_001);
                     let report = Coming::Report(report.clone());
@@ -276,17 +276,19 @@
             let is_cut = self.hosts[n].is_cut;
             match coming {
                 Coming::Report(report) if !is_cut => {
-                    self.apply(n, Event::Reported { report, boot_time });
+                    self.apply(n, Event::ReportReceived { report, boot_time });
+                }
+                Coming::Order(order) if !is_cut => self.apply(n, Event::RolloutOrderRead(order)),
+                Coming::First(number) => self.apply(n, Event::ResponseStarted(number)),
+                Coming::End(number, outcome) => {
+                    self.apply(n, Event::AttemptEnded { number, outcome })
                 }
-                Coming::Order(order) if !is_cut => self.apply(n, Event::RolloutTold(order)),
-                Coming::First(number) => self.apply(n, Event::Answered(number)),
-                Coming::End(number, outcome) => self.apply(n, Event::Ended { number, outcome }),
                 Coming::Report(_) | Coming::Order(_) => {}
             }
         }
         let is_proof_due = boot_time.as_millis().is_multiple_of(500);
         if is_proof_due && !self.hosts[n].is_cut {
-            self.apply(n, Event::Proved(boot_time));
+            self.apply(n, Event::ConfigurationProved(boot_time));
         }
         self.apply(n, Event::Tick(boot_time));
         // Three hundred requests a second, from two routes.
@@ -358,9 +360,9 @@
     Host {
         router: Router::new(RouterConfig {
             host: name(n),
-            run: seed ^ (u64::from(port(n)) << 32),
-            address: address(7_000 + port(n)),
-            callers: address(8_000 + port(n)),
+            incarnation: seed ^ (u64::from(port(n)) << 32),
+            peer_address: address(7_000 + port(n)),
+            caller_address: address(8_000 + port(n)),
             failure_domain: "a".into(),
             seed,
             bounds,
@@ -376,7 +378,7 @@
     RolloutOrder {
         service: ENGINES.into(),
         to: "v2".into(),
-        time: ORDER_TIME,
+        time_limit: ORDER_TIME,
         point: StorePoint::new(1, 50),
         state: RolloutState::Ordered,
     }
--- a/crates/jaypin_router/tests/rollouts.rs
+++ b/crates/jaypin_router/tests/rollouts.rs
@@ -14,7 +14,7 @@
     RolloutOrder {
         service: ENGINES.into(),
         to: to.into(),
-        time: Duration::from_secs(12),
+        time_limit: Duration::from_secs(12),
         point: StorePoint::new(1, revision),
         state,
     }
@@ -54,7 +54,7 @@
 }
 
 fn told(bed: &mut Bed, order: RolloutOrder) {
-    bed.apply(Event::RolloutTold(order));
+    bed.apply(Event::RolloutOrderRead(order));
 }
 
 /// Which backend servers get forty requests, each answered at once.
--- a/crates/jaypin_router/tests/snapshots.rs
+++ b/crates/jaypin_router/tests/snapshots.rs
@@ -26,7 +26,7 @@
 
 fn found(bed: &mut Bed) {
     let whole = common::whole(2);
-    bed.apply(Event::HostsFound(vec![(whole.host, whole.address)]));
+    bed.apply(Event::HostsListed(vec![(whole.host, whole.address)]));
 }
 
 /// A stranger inside the network reports a version that nobody has. If a host fetched it from
@@ -35,13 +35,13 @@
 fn a_host_that_the_store_does_not_list_is_not_asked() {
     let mut bed = Bed::usual();
     bed.hear_report(watcher(1, 7, 1));
-    assert!(bed.router.is_behind());
+    assert!(bed.router.is_configuration_outdated());
     assert_eq!(bed.router.configuration_holders(bed.now), []);
-    assert!(!bed.router.is_host(common::address(1).ip()));
+    assert!(!bed.router.is_registered_host(common::address(1).ip()));
     found(&mut bed);
     let address = common::whole(2).address;
     assert_eq!(bed.router.configuration_holders(bed.now), [address]);
-    assert!(bed.router.is_host(address.ip()));
+    assert!(bed.router.is_registered_host(address.ip()));
 }
 
 #[test]
@@ -74,7 +74,7 @@
     knows.remove("engine-1");
     let mut lacks = Bed::usual();
     let entries = knows.router.entry_snapshot();
-    lacks.apply(Event::EntriesHanded(entries.clone()));
+    lacks.apply(Event::EntriesTransferred(entries.clone()));
     assert_eq!(lacks.router.entry_snapshot(), entries);
     for _ in 0..18 {
         let (_, told) = lacks.arrive("/ask/1", (600, 30));
@@ -94,7 +94,7 @@
     };
     bed.state(leaving);
     let newer = bed.router.entry_snapshot();
-    bed.apply(Event::EntriesHanded(older));
+    bed.apply(Event::EntriesTransferred(older));
     assert_eq!(bed.router.entry_snapshot(), newer);
 }
 
--- a/crates/jaypin_router/tests/store_eras.rs
+++ b/crates/jaypin_router/tests/store_eras.rs
@@ -35,7 +35,7 @@
     let old = record("engine-1", ENGINES, 9);
     report.changes.push(stated(old.clone(), 1, 900));
     bed.hear_report(report);
-    bed.apply(Event::EntriesHanded(vec![stated(old, 1, 901)]));
+    bed.apply(Event::EntriesTransferred(vec![stated(old, 1, 901)]));
     assert!(!uses(&mut bed, "engine-1"));
 }
 
@@ -95,7 +95,7 @@
     RolloutOrder {
         service: ENGINES.into(),
         to: to.into(),
-        time: Duration::from_secs(10),
+        time_limit: Duration::from_secs(10),
         point: StorePoint::new(era, revision),
         state,
     }
@@ -113,13 +113,13 @@
     bed.prove();
     bed.tick();
     bed.state(record("engine-1", ENGINES, 9));
-    bed.apply(Event::RolloutTold(order(
+    bed.apply(Event::RolloutOrderRead(order(
         "v2",
         1,
         500,
         RolloutState::Running,
     )));
-    bed.apply(Event::RolloutTold(order("v2", 1, 501, state)));
+    bed.apply(Event::RolloutOrderRead(order("v2", 1, 501, state)));
     bed
 }
 
@@ -143,7 +143,7 @@
             #[test]
             fn $name() {
                 let mut bed = ended_bed(RolloutState::$state);
-                bed.apply(Event::RolloutTold($told));
+                bed.apply(Event::RolloutOrderRead($told));
                 let written: Option<RolloutState> = $written;
                 assert_eq!(writes(&mut bed).first().map(|it| it.state), written);
             }
@@ -165,7 +165,7 @@
 #[test]
 fn a_lost_end_is_written_over_the_new_point_until_the_store_has_it() {
     let mut bed = ended_bed(RolloutState::Done);
-    bed.apply(Event::RolloutTold(order(
+    bed.apply(Event::RolloutOrderRead(order(
         "v2",
         2,
         400,
@@ -173,7 +173,12 @@
     )));
     let written = writes(&mut bed);
     assert_eq!(written[0].point, StorePoint::new(2, 400));
-    bed.apply(Event::RolloutTold(order("v2", 2, 402, RolloutState::Done)));
+    bed.apply(Event::RolloutOrderRead(order(
+        "v2",
+        2,
+        402,
+        RolloutState::Done,
+    )));
     assert_eq!(writes(&mut bed), Vec::new());
 }
 
@@ -181,7 +186,7 @@
 #[test]
 fn a_host_that_reads_the_copy_first_takes_the_end_from_its_peers() {
     let mut bed = ended_bed(RolloutState::Withdrawn);
-    bed.apply(Event::RolloutTold(order(
+    bed.apply(Event::RolloutOrderRead(order(
         "v3",
         2,
         400,
--- a/crates/jaypin_router/tests/store_eras_fleet.rs
+++ b/crates/jaypin_router/tests/store_eras_fleet.rs
@@ -61,7 +61,7 @@
                     common::address(7_000 + n),
                 )
             });
-            bed.apply(Event::HostsFound(all.collect()));
+            bed.apply(Event::HostsListed(all.collect()));
             bed.configure(configuration(1));
             bed
         });
@@ -117,20 +117,20 @@
         let due: Vec<_> = self.coming.extract_if(.., |it| it.0 <= now).collect();
         for (_, n, report) in due {
             let boot_time: BootTime = self.beds[n].boot;
-            let fx = self.beds[n].apply(Event::Reported { report, boot_time });
+            let fx = self.beds[n].apply(Event::ReportReceived { report, boot_time });
             self.carry_out(n, fx);
         }
         for n in 0..HOSTS {
             let router = &self.beds[n].router;
             let watches = router.is_watcher(now) && self.cut != Some(n);
             let holder = router.entry_holders(now).first().copied();
-            let is_other = router.has_other_entries(now);
+            let is_other = router.has_diverging_entries(now);
             if watches && self.rng.random_range(0..6) == 0 {
                 self.read(n);
             } else if let Some(holder) = holder.filter(|_| is_other) {
                 let holder = usize::from(holder.port() - 7_001);
                 let entries = self.beds[holder].router.entry_snapshot();
-                self.beds[n].apply(Event::EntriesHanded(entries));
+                self.beds[n].apply(Event::EntriesTransferred(entries));
             }
         }
     }
@@ -150,7 +150,7 @@
 
     fn carry_out(&mut self, n: usize, fx: Vec<Effect>) {
         for effect in fx {
-            let Effect::Tell { to, report } = effect else {
+            let Effect::SendReport { to, report } = effect else {
                 continue;
             };
             for address in to {
--- a/crates/jaypin_router/tests/version_test.rs
+++ b/crates/jaypin_router/tests/version_test.rs
@@ -65,7 +65,7 @@
             totals.count(route, is_new, outcome);
         }
         now += STEP;
-        test.take(&totals, now);
+        test.update(&totals, now);
         if test.evidence().is_some() {
             return End::Bad { after: bad_answers };
         }
@@ -175,7 +175,7 @@
         totals.count(1, true, Outcome::Good);
     }
     let mut test = VersionTest::default();
-    test.take(&totals, Instant::now());
+    test.update(&totals, Instant::now());
     assert!(test.evidence().is_none());
     assert!(!test.is_good());
 }
@@ -192,6 +192,6 @@
         totals.count(1, true, Outcome::Good);
     }
     let mut test = VersionTest::default();
-    test.take(&totals, Instant::now());
+    test.update(&totals, Instant::now());
     assert!(!test.is_good());
 }
--- a/crates/jaypin_router/tests/watching.rs
+++ b/crates/jaypin_router/tests/watching.rs
@@ -13,7 +13,7 @@
     let mut bed = Bed::unconfigured();
     let wholes = (2..2 + others).map(common::whole);
     let hosts = wholes.map(|it| (it.host, it.address));
-    bed.apply(Event::HostsFound(hosts.collect()));
+    bed.apply(Event::HostsListed(hosts.collect()));
     bed.configure(common::configuration(1));
     bed.prove();
     bed
@@ -60,11 +60,13 @@
 #[test]
 fn two_hosts_go_first_when_the_store_is_asked_again() {
     let beds: Vec<_> = (1..=12).map(|own| heard_by(own, 12)).collect();
-    let first = beds.iter().filter(|it| it.router.asks_first(it.now));
+    let first = beds
+        .iter()
+        .filter(|it| it.router.probes_store_first(it.now));
     assert_eq!(first.count(), 2);
     let mut places: Vec<_> = beds
         .iter()
-        .map(|it| it.router.watch_place(it.now))
+        .map(|it| it.router.store_probe_rank(it.now))
         .collect();
     places.sort_unstable();
     assert_eq!(places, (0..12).collect::<Vec<_>>());
@@ -91,7 +93,7 @@
     bed.wait(Duration::from_millis(10));
     let fx = bed.tick();
     let wholes = fx.into_iter().filter_map(|effect| match effect {
-        Effect::Tell { report, .. } => report.whole,
+        Effect::SendReport { report, .. } => report.whole,
         _ => None,
     });
     wholes.last().map(|whole| whole.store.may_watch)
@@ -108,7 +110,7 @@
     bed.wait(Duration::from_millis(500));
     bed.prove();
     assert_eq!(says_it_may_watch(&mut bed), Some(true));
-    bed.apply(Event::StoreDisturbed);
+    bed.apply(Event::StoreCallFailed);
     assert_eq!(says_it_may_watch(&mut bed), Some(false));
     bed.prove();
     assert_eq!(says_it_may_watch(&mut bed), Some(true));
@@ -130,7 +132,7 @@
     hear_watchers(&mut bed, 1);
     let last_answer = bed.boot;
     bed.wait(Duration::from_millis(1_200));
-    bed.apply(Event::Proved(last_answer));
+    bed.apply(Event::ConfigurationProved(last_answer));
     bed.wait(Duration::from_millis(1_100));
     hear_watchers(&mut bed, 2);
     assert!(!watches(&bed));
@@ -146,7 +148,7 @@
         let mut fx = bed.hear_report(common::report(n + 1, common::whole(2)));
         fx.extend(bed.tick());
         for effect in fx {
-            if let Effect::Tell { report, .. } = effect {
+            if let Effect::SendReport { report, .. } = effect {
                 told.extend(report.changes.iter().map(|it| format!("{it:?}")));
             }
         }
@@ -194,7 +196,7 @@
     for _ in 0..50 {
         bed.wait(Duration::from_millis(10));
         for effect in bed.tick() {
-            if let Effect::Tell { report, .. } = effect {
+            if let Effect::SendReport { report, .. } = effect {
                 told.extend(report.changes.iter().map(|it| format!("{it:?}")));
             }
         }
