--- a/crates/jaypin/src/backend_call/connect.rs
+++ b/crates/jaypin/src/backend_call/connect.rs
@@ -7,19 +7,19 @@
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Method, Request, Response};
-use jaypin_http::{ConnectLimits, Sender, Unreached};
+use jaypin_http::{ConnectError, ConnectTimeouts, Sender};
 use tokio::time::timeout;
 
 /// How long a backend server may take to be connected to, and to acknowledge bytes.
-const LIMITS: ConnectLimits = ConnectLimits {
-    open: Duration::from_secs(1),
-    silence: Duration::from_secs(5),
+const LIMITS: ConnectTimeouts = ConnectTimeouts {
+    connect: Duration::from_secs(1),
+    unacknowledged: Duration::from_secs(5),
 };
 /// Longest time for the head of an answer that needs no work.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Opens a connection.
-pub async fn connect(address: &str) -> Result<Sender, Unreached> {
+pub async fn connect(address: &str) -> Result<Sender, ConnectError> {
     let (sender, driver) = jaypin_http::connect(address, LIMITS).await?;
     tokio::spawn(driver);
     Ok(sender)
@@ -31,7 +31,7 @@
     address: &str,
     method: Method,
     path: &str,
-) -> Result<Option<Response<Incoming>>, Unreached> {
+) -> Result<Option<Response<Incoming>>, ConnectError> {
     let mut sender = connect(address).await?;
     let mut req = Request::new(Full::new(Bytes::new()));
     *req.method_mut() = method;
--- a/crates/jaypin/src/backend_call/stream.rs
+++ b/crates/jaypin/src/backend_call/stream.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Response, StatusCode};
 use jaypin_core::{CallOutcome, CallProgress};
-use jaypin_http::{EventReader, Unreached};
+use jaypin_http::{ConnectError, EventReader};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
 
@@ -94,7 +94,7 @@
                     CallOutcome::Lost
                 };
             }
-            Err(Unreached::Refused) if was_cut => return CallOutcome::Died,
+            Err(ConnectError::Refused) if was_cut => return CallOutcome::Died,
             Ok(_) | Err(_) => {}
         }
     }
--- a/crates/jaypin/src/backend_call/whole.rs
+++ b/crates/jaypin/src/backend_call/whole.rs
@@ -8,7 +8,7 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::http::response;
 use jaypin_core::{CallOutcome, CallProgress, Event, MAX_STORED_ANSWER, StoredAnswer};
-use jaypin_http::Unreached;
+use jaypin_http::ConnectError;
 use serde::Deserialize;
 use tokio::time::timeout;
 
@@ -48,7 +48,7 @@
 /// the call, anything else is a lost connection.
 pub async fn after_cut(cx: &Cx<'_>) -> CallOutcome {
     match connect(&cx.call.address).await {
-        Err(Unreached::Refused) => CallOutcome::Died,
+        Err(ConnectError::Refused) => CallOutcome::Died,
         Ok(_) | Err(_) => CallOutcome::Lost,
     }
 }
--- a/crates/jaypin_entry/src/callers/attempt.rs
+++ b/crates/jaypin_entry/src/callers/attempt.rs
@@ -17,7 +17,7 @@
 use crate::calls::{
     CallError, Connection, DEFAULT_LIMITS, SendOrder, connect, event_id, read_whole,
 };
-use crate::ports::{BackendAnswer, Forward};
+use crate::ports::{BackendResponse, ForwardContext};
 
 /// Header with which a stream is gone on with, by the standard of server-sent events.
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
@@ -82,12 +82,12 @@
         let says = self
             .host
             .platform
-            .backend_answer(status, response.headers());
+            .parse_backend_response(status, response.headers());
         if let Some(outcome) = self.misplaced(&says, &response) {
             return outcome;
         }
         self.note_signals(order, &says);
-        if says.is_declined {
+        if says.is_not_run {
             return self.declined(connection, response, &says).await;
         }
         if status.is_success() && order.repeat.is_stream() {
@@ -97,10 +97,10 @@
     }
 
     /// Tells the reducer what the backend server says of itself, and logs a change.
-    fn note_signals(&self, order: &SendOrder, says: &BackendAnswer) {
+    fn note_signals(&self, order: &SendOrder, says: &BackendResponse) {
         let backend = &order.backend;
         // The server that answered is not the one that is known by this id.
-        if says.is_other_backend {
+        if says.is_misdirected {
             return;
         }
         let number = self.number;
@@ -144,12 +144,12 @@
     /// taken for the next request's, and one caller would get another's data.
     fn misplaced(
         &self,
-        says: &BackendAnswer,
+        says: &BackendResponse,
         response: &Response<Incoming>,
     ) -> Option<AttemptOutcome> {
         let is_other = says.id.as_ref().is_some_and(|id| *id != self.call.says.id);
         let is_success = response.status().is_success();
-        let is_unmarked = is_success && (!says.is_signed || says.id.is_none());
+        let is_unmarked = is_success && (!says.is_from_backend || says.id.is_none());
         let is_encoded = response.headers().contains_key(CONTENT_ENCODING);
         (is_other || is_unmarked || is_encoded).then_some(AttemptOutcome::Lost)
     }
@@ -158,12 +158,12 @@
         &self,
         connection: Connection,
         response: Response<Incoming>,
-        says: &BackendAnswer,
+        says: &BackendResponse,
     ) -> AttemptOutcome {
         if read_whole(response).await.is_some() {
             self.host.connections.give_back(connection);
         }
-        if says.is_other_backend {
+        if says.is_misdirected {
             AttemptOutcome::Replaced
         } else {
             AttemptOutcome::NotRun
@@ -260,7 +260,7 @@
 
     fn request(&self, order: &SendOrder) -> Request<Full<Bytes>> {
         let time_left = order.deadline.saturating_duration_since(Instant::now());
-        let forward = Forward {
+        let forward = ForwardContext {
             backend: &order.backend,
             account: order.asked_by.account.as_ref(),
             time_left,
--- a/crates/jaypin_entry/src/callers/directory.rs
+++ b/crates/jaypin_entry/src/callers/directory.rs
@@ -84,7 +84,7 @@
             StatusCode::SERVICE_UNAVAILABLE
         });
     }
-    if host.platform.is_entry_query(req.method(), req.uri()) {
+    if host.platform.is_address_query(req.method(), req.uri()) {
         let now = Instant::now().into_std();
         let addresses = host.look(|router| router.caller_addresses(now, boot_time()));
         return entry(host, addresses);
@@ -112,8 +112,8 @@
     }
     addresses.shuffle(&mut rand::rng());
     addresses.truncate(MOST_ADDRESSES);
-    let valid_for = ENTRY_TIME.min(host.settings.longest_entry);
-    let body = host.platform.entry_answer(&addresses, valid_for);
+    let valid_for = ENTRY_TIME.min(host.settings.max_address_list_ttl);
+    let body = host.platform.address_list_body(&addresses, valid_for);
     let mut response = Response::new(full(body));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
--- a/crates/jaypin_entry/src/callers/read_request.rs
+++ b/crates/jaypin_entry/src/callers/read_request.rs
@@ -81,9 +81,9 @@
 pub async fn read(host: &Host, req: Request<Incoming>) -> Result<CallerCall, ReadError> {
     let received_at = Instant::now();
     let (head, body) = req.into_parts();
-    let says = host.platform.caller_request(&head.headers);
+    let says = host.platform.parse_caller_request(&head.headers);
     let says = says.map_err(|error| ReadError::Header { what: error.what })?;
-    let patience = says.patience.unwrap_or(BODY_TIME);
+    let patience = says.timeout.unwrap_or(BODY_TIME);
     let largest = host.look(|router| {
         let table = router.table();
         table.map_or(DEFAULT_BODY, |it| it.configuration().limits.body_bytes)
--- a/crates/jaypin_entry/src/calls/connections.rs
+++ b/crates/jaypin_entry/src/calls/connections.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderName};
 use hyper::{HeaderMap, Request, Response};
-use jaypin_http::{ConnectLimits, Sender, Unreached};
+use jaypin_http::{ConnectError, ConnectTimeouts, Sender};
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
@@ -17,9 +17,9 @@
 ///
 /// Three network delays at the largest distance of today's fleets are 20 ms; a lost opening
 /// packet is sent again only after a second, and another backend server is found sooner.
-pub const DEFAULT_LIMITS: ConnectLimits = ConnectLimits {
-    open: Duration::from_millis(300),
-    silence: SILENCE,
+pub const DEFAULT_LIMITS: ConnectTimeouts = ConnectTimeouts {
+    connect: Duration::from_millis(300),
+    unacknowledged: SILENCE,
 };
 /// Time without an acknowledgement after which a connection is given up: bytes that were
 /// lost are sent again several times in it.
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// Says why none was made.
-    pub async fn take(&self, address: &str) -> Result<Connection, Unreached> {
+    pub async fn take(&self, address: &str) -> Result<Connection, ConnectError> {
         if let Some(connection) = self.take_idle(address) {
             return Ok(connection);
         }
@@ -150,7 +150,7 @@
 ///
 /// # Errors
 /// Says why none was made.
-pub async fn connect(address: &str, limits: ConnectLimits) -> Result<Connection, Unreached> {
+pub async fn connect(address: &str, limits: ConnectTimeouts) -> Result<Connection, ConnectError> {
     let (sender, driver) = jaypin_http::connect(address, limits).await?;
     spawn_local(async move {
         if let Err(error) = driver.await {
--- a/crates/jaypin_entry/src/lib.rs
+++ b/crates/jaypin_entry/src/lib.rs
@@ -21,7 +21,7 @@
     encode_configuration, encode_entries, encode_report,
 };
 pub use ports::{
-    BackendAnswer, CallerRequest, Collection, DecodeError, Forward, Freshness, HostRecord,
+    BackendResponse, CallerRequest, Collection, DecodeError, ForwardContext, Freshness, HostRecord,
     HostSettings, Object, ObjectChange, ObjectChanges, ObjectPage, Platform,
 };
 pub use serve::{ServeOptions, serve};
--- a/crates/jaypin_entry/src/ports.rs
+++ b/crates/jaypin_entry/src/ports.rs
@@ -35,21 +35,21 @@
     /// Failure domain it stands in.
     pub failure_domain: FailureDomain,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where the platform asks whether the host is ready.
-    pub readiness: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Where callers ask which addresses to use.
-    pub directory: SocketAddr,
+    pub directory_address: SocketAddr,
     /// Where operators and scrapers connect.
-    pub operators: Option<SocketAddr>,
+    pub operator_address: Option<SocketAddr>,
     /// Where peers send their reports.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The platform's store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// Descriptors that the process may have open.
-    pub open_files: u64,
+    pub max_open_files: u64,
     /// How long an entry answer may hold at most.
-    pub longest_entry: Duration,
+    pub max_address_list_ttl: Duration,
     /// Bounds that hold for the fleet.
     pub bounds: Bounds,
 }
@@ -73,7 +73,7 @@
     /// As of the moment at which it was asked.
     Newest,
     /// It may be seconds old, and costs the store less.
-    MayLag,
+    AllowStale,
 }
 
 /// An object of the store.
@@ -124,7 +124,7 @@
     /// Name of the host.
     pub host: HostId,
     /// Where it takes reports.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
 }
 
 /// What a caller's header says besides method and path.
@@ -137,16 +137,16 @@
     /// Its credential.
     pub credential: Option<String>,
     /// How long it waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Tokens of the prompt and most tokens of the answer.
     pub tokens: Option<(u32, u32)>,
     /// Tokens of the answer, as the caller expects them.
-    pub expected_answer: Option<u32>,
+    pub expected_answer_tokens: Option<u32>,
 }
 
 /// What a backend server is told besides the caller's own header.
 #[derive(Debug, Clone)]
-pub struct Forward<'a> {
+pub struct ForwardContext<'a> {
     /// The backend server that is meant.
     pub backend: &'a BackendId,
     /// The caller's account.
@@ -157,15 +157,15 @@
 
 /// What the header of a backend server's answer says.
 #[derive(Debug)]
-pub struct BackendAnswer {
+pub struct BackendResponse {
     /// The id of the try that it answers, where it says so.
     pub id: Option<String>,
     /// Whether it bears a backend server's mark.
-    pub is_signed: bool,
+    pub is_from_backend: bool,
     /// Whether it states that the request was not run.
-    pub is_declined: bool,
+    pub is_not_run: bool,
     /// Whether another backend server has the address.
-    pub is_other_backend: bool,
+    pub is_misdirected: bool,
     /// Requests a second that it takes from all hosts together, where it says so.
     pub rate_limit: Result<Option<f64>, DecodeError>,
     /// Whether the backend server takes new requests, by its own word.
@@ -181,28 +181,28 @@
     ///
     /// # Errors
     /// Names everything that is missing or wrong.
-    fn settings(&self, text: &str) -> Result<HostSettings, DecodeError>;
+    fn parse_settings(&self, text: &str) -> Result<HostSettings, DecodeError>;
 
     /// Whether a request asks if the host is ready.
     fn is_readiness_check(&self, method: &Method, uri: &Uri) -> bool;
 
     /// Whether a request asks which addresses to use.
-    fn is_entry_query(&self, method: &Method, uri: &Uri) -> bool;
+    fn is_address_query(&self, method: &Method, uri: &Uri) -> bool;
 
     /// The answer to that question.
-    fn entry_answer(&self, addresses: &[SocketAddr], valid_for: Duration) -> Bytes;
+    fn address_list_body(&self, addresses: &[SocketAddr], valid_for: Duration) -> Bytes;
 
     /// Reads a caller's header.
     ///
     /// # Errors
     /// Says which header makes no sense.
-    fn caller_request(&self, headers: &HeaderMap) -> Result<CallerRequest, DecodeError>;
+    fn parse_caller_request(&self, headers: &HeaderMap) -> Result<CallerRequest, DecodeError>;
 
     /// The header for a backend server, from the caller's own.
-    fn forwarded_headers(&self, headers: &HeaderMap, forward: &Forward<'_>) -> HeaderMap;
+    fn forwarded_headers(&self, headers: &HeaderMap, forward: &ForwardContext<'_>) -> HeaderMap;
 
     /// Reads the header of a backend server's answer.
-    fn backend_answer(&self, status: StatusCode, headers: &HeaderMap) -> BackendAnswer;
+    fn parse_backend_response(&self, status: StatusCode, headers: &HeaderMap) -> BackendResponse;
 
     /// Path that lists a kind, from behind a name on.
     fn list_path(&self, kind: Collection, after: Option<&str>, freshness: Freshness) -> String;
@@ -220,52 +220,52 @@
     ///
     /// # Errors
     /// Says why it is no era.
-    fn store_era(&self, headers: &HeaderMap) -> Result<Option<StoreEra>, DecodeError>;
+    fn parse_store_era(&self, headers: &HeaderMap) -> Result<Option<StoreEra>, DecodeError>;
 
     /// Reads one object.
     ///
     /// # Errors
     /// Says what makes no sense.
-    fn object(&self, body: &[u8], era: StoreEra) -> Result<Object, DecodeError>;
+    fn parse_object(&self, body: &[u8], era: StoreEra) -> Result<Object, DecodeError>;
 
     /// Reads a page of a listing.
     ///
     /// # Errors
     /// Says what makes no sense.
-    fn page(&self, body: &[u8], era: StoreEra) -> Result<ObjectPage, DecodeError>;
+    fn parse_page(&self, body: &[u8], era: StoreEra) -> Result<ObjectPage, DecodeError>;
 
     /// Reads the answer of a watch.
     ///
     /// # Errors
     /// Says what makes no sense.
-    fn changes(&self, body: &[u8], era: StoreEra) -> Result<ObjectChanges, DecodeError>;
+    fn parse_changes(&self, body: &[u8], era: StoreEra) -> Result<ObjectChanges, DecodeError>;
 
     /// Reads a configuration.
     ///
     /// # Errors
     /// Says what makes no sense.
-    fn configuration(&self, object: &Object) -> Result<Configuration, DecodeError>;
+    fn parse_configuration(&self, object: &Object) -> Result<Configuration, DecodeError>;
 
     /// Reads what a backend server states of itself.
     ///
     /// # Errors
     /// Says what makes no sense.
-    fn backend(&self, object: &Object) -> Result<BackendRecord, DecodeError>;
+    fn parse_backend(&self, object: &Object) -> Result<BackendRecord, DecodeError>;
 
     /// Reads an order for a new version.
     ///
     /// # Errors
     /// Says what makes no sense.
-    fn rollout(&self, object: &Object) -> Result<RolloutOrder, DecodeError>;
+    fn parse_rollout(&self, object: &Object) -> Result<RolloutOrder, DecodeError>;
 
     /// The body that writes the state of an order, if the store still has its revision.
-    fn rollout_status(&self, order: &RolloutOrder) -> Bytes;
+    fn rollout_status_body(&self, order: &RolloutOrder) -> Bytes;
 
     /// Reads a host's registration.
     ///
     /// # Errors
     /// Says what makes no sense.
-    fn host(&self, object: &Object) -> Result<HostRecord, DecodeError>;
+    fn parse_host(&self, object: &Object) -> Result<HostRecord, DecodeError>;
 
     /// The body that creates a host's registration, or replaces the one of a revision.
     fn host_body(&self, record: &HostRecord, replaces: Option<u64>) -> Bytes;
--- a/crates/jaypin_entry/src/serve.rs
+++ b/crates/jaypin_entry/src/serve.rs
@@ -52,9 +52,9 @@
     let name = options.settings.display();
     let text =
         std::fs::read_to_string(&options.settings).map_err(|error| format!("{name}: {error}"))?;
-    let read = platform.settings(&text);
+    let read = platform.parse_settings(&text);
     let read = read.map_err(|error| format!("{name}: {error}"))?;
-    let limit = read.open_files.max(FILE_DESCRIPTORS);
+    let limit = read.max_open_files.max(FILE_DESCRIPTORS);
     if let Err(error) = rlimit::increase_nofile_limit(limit) {
         log::warn!(error:%; "can't raise the limit of open files");
     }
@@ -70,28 +70,44 @@
     settings: HostSettings,
     metrics_port: Option<u16>,
 ) -> Result<(), String> {
-    let callers = open("callers", listen(settings.callers), settings.callers)?;
-    let readiness = open("readiness", listen(settings.readiness), settings.readiness)?;
-    let directory = open("directory", listen(settings.directory), settings.directory)?;
-    let scraped = metrics_port.map(|port| SocketAddr::new(settings.callers.ip(), port));
+    let callers = open(
+        "callers",
+        listen(settings.caller_address),
+        settings.caller_address,
+    )?;
+    let readiness = open(
+        "readiness",
+        listen(settings.readiness_address),
+        settings.readiness_address,
+    )?;
+    let directory = open(
+        "directory",
+        listen(settings.directory_address),
+        settings.directory_address,
+    )?;
+    let scraped = metrics_port.map(|port| SocketAddr::new(settings.caller_address.ip(), port));
     let scraped = scraped.map(|address| open("metrics", listen(address), address));
     let scraped = scraped.transpose()?;
-    let snapshots = open("snapshots", listen(settings.peers), settings.peers)?;
-    let peers = PeerSocket::open(settings.peers).await;
-    let peers = open("peers", peers, settings.peers)?;
+    let snapshots = open(
+        "snapshots",
+        listen(settings.peer_address),
+        settings.peer_address,
+    )?;
+    let peers = PeerSocket::open(settings.peer_address).await;
+    let peers = open("peers", peers, settings.peer_address)?;
     let mut term = on_signal(SignalKind::terminate())?;
     let hang_up = on_signal(SignalKind::hangup())?;
     let run = rand::rng().random();
     let router = Router::new(RouterConfig {
         host: settings.host.clone(),
         incarnation: run,
-        peer_address: settings.peers,
-        caller_address: settings.callers,
+        peer_address: settings.peer_address,
+        caller_address: settings.caller_address,
         failure_domain: settings.failure_domain.clone(),
         seed: run,
         bounds: settings.bounds.clone(),
     });
-    log::info!(host:% = settings.host, run, callers:% = settings.callers; "started");
+    log::info!(host:% = settings.host, run, callers:% = settings.caller_address; "started");
     let (rollout_writes, rollout_orders) = mpsc::unbounded_channel();
     let host = Host::new(platform, settings, router, peers, rollout_writes);
     let host = Rc::new(host);
--- a/crates/jaypin_entry/src/store/backends.rs
+++ b/crates/jaypin_entry/src/store/backends.rs
@@ -26,7 +26,7 @@
 pub async fn follow_backends(host: Rc<Host>) {
     let mut client = StoreClient::new(&host);
     let mut retries = Retries::default();
-    let mut freshness = Freshness::MayLag;
+    let mut freshness = Freshness::AllowStale;
     let mut handed_at: Option<Instant> = None;
     loop {
         if retries.has_ended_well() {
@@ -111,7 +111,7 @@
 }
 
 fn read(host: &Host, object: &Object) -> Option<BackendRecord> {
-    match host.platform.backend(object) {
+    match host.platform.parse_backend(object) {
         Ok(record) => Some(record),
         Err(error) => {
             log::warn!(name = object.name, error:%; "an entry that is no backend server");
--- a/crates/jaypin_entry/src/store/client.rs
+++ b/crates/jaypin_entry/src/store/client.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderValue};
 use hyper::{Method, Request, StatusCode};
-use jaypin_http::ConnectLimits;
+use jaypin_http::ConnectTimeouts;
 use jaypin_router::{Event, Router, StoreEra, StorePoint};
 use snafu::Snafu;
 use tokio::time::timeout;
@@ -127,7 +127,7 @@
                 .platform
                 .list_path(kind, after.as_deref(), freshness);
             let StoreAnswer { era, body } = self.get(&path, CALL_TIMEOUT).await?;
-            let page: ObjectPage = self.host.platform.page(&body, era)?;
+            let page: ObjectPage = self.host.platform.parse_page(&body, era)?;
             // Pages of two histories make no listing.
             if first_point.is_some_and(|it| it.era != era) {
                 objects.clear();
@@ -156,7 +156,7 @@
             // The new history may have reached the revision, and lacks what lies between.
             Ok(answer) if answer.era != since.era => Ok(None),
             Ok(answer) => {
-                let changes = self.host.platform.changes(&answer.body, answer.era)?;
+                let changes = self.host.platform.parse_changes(&answer.body, answer.era)?;
                 Ok(Some(changes))
             }
             Err(StoreError::Status { status }) if status == StatusCode::GONE => Ok(None),
@@ -223,7 +223,7 @@
         *req.method_mut() = method;
         *req.uri_mut() = path.parse().map_err(|_| StoreError::Unreached)?;
         let headers = req.headers_mut();
-        let authority = self.host.settings.store.to_string();
+        let authority = self.host.settings.store_address.to_string();
         if let Ok(authority) = HeaderValue::from_str(&authority) {
             headers.insert(HOST, authority);
         }
@@ -245,7 +245,7 @@
         if !status.is_success() {
             return Err(StoreError::Status { status });
         }
-        let stated = self.host.platform.store_era(&answer.headers)?;
+        let stated = self.host.platform.parse_store_era(&answer.headers)?;
         let known = self.host.look(Router::stated_era);
         let era = match (stated, known) {
             (stated, Some(known)) if stated < Some(known) => {
@@ -267,9 +267,9 @@
     }
 
     async fn connect(&self) -> Result<Connection, StoreError> {
-        let address = self.host.settings.store.to_string();
-        let limits = ConnectLimits {
-            open: CONNECT_TIMEOUT,
+        let address = self.host.settings.store_address.to_string();
+        let limits = ConnectTimeouts {
+            connect: CONNECT_TIMEOUT,
             ..DEFAULT_LIMITS
         };
         let made = connect(&address, limits).await;
--- a/crates/jaypin_entry/src/store/configuration.rs
+++ b/crates/jaypin_entry/src/store/configuration.rs
@@ -176,7 +176,7 @@
 }
 
 fn take(host: &Host, object: &Object) {
-    match host.platform.configuration(object) {
+    match host.platform.parse_configuration(object) {
         Ok(configuration) => {
             let version = configuration.version;
             let known = known_version(host);
--- a/crates/jaypin_entry/src/store/hosts.rs
+++ b/crates/jaypin_entry/src/store/hosts.rs
@@ -54,7 +54,7 @@
         if !hears_unlisted(&host) {
             continue;
         }
-        match client.list(Collection::Hosts, Freshness::MayLag).await {
+        match client.list(Collection::Hosts, Freshness::AllowStale).await {
             Ok((objects, _)) => find_all(&host, &objects),
             Err(error) => log::info!(error:%; "hosts could not be listed again"),
         }
@@ -69,13 +69,15 @@
 async fn join(host: &Host, client: &mut StoreClient<'_>) -> Result<(), StoreError> {
     let own = HostRecord {
         host: host.settings.host.clone(),
-        peers: host.settings.peers,
+        peer_address: host.settings.peer_address,
     };
     // One that has been there for long lists all that matter also if it lags.
-    let (objects, _) = client.list(Collection::Hosts, Freshness::MayLag).await?;
+    let (objects, _) = client
+        .list(Collection::Hosts, Freshness::AllowStale)
+        .await?;
     let registered = objects.iter().find(|it| *it.name == *own.host);
     let is_current = registered.is_some_and(|it| {
-        let record = host.platform.host(it);
+        let record = host.platform.parse_host(it);
         record.is_ok_and(|record| record == own)
     });
     // Known at once, however long it takes to register: each host gives out its part of
@@ -114,13 +116,13 @@
 
 fn find_all(host: &Host, objects: &[Object]) {
     let records = objects.iter().filter_map(|object| {
-        let record = host.platform.host(object);
+        let record = host.platform.parse_host(object);
         if let Err(error) = &record {
             log::warn!(name = object.name, error:%; "an entry that is no host");
         }
         record.ok()
     });
-    let hosts: Vec<_> = records.map(|it| (it.host, it.peers)).collect();
+    let hosts: Vec<_> = records.map(|it| (it.host, it.peer_address)).collect();
     log::info!(count = hosts.len(); "hosts listed");
     host.apply(Event::HostsListed(hosts));
 }
--- a/crates/jaypin_entry/src/store/rollouts.rs
+++ b/crates/jaypin_entry/src/store/rollouts.rs
@@ -93,7 +93,7 @@
 }
 
 fn read(host: &Host, object: &Object) -> Option<RolloutOrder> {
-    match host.platform.rollout(object) {
+    match host.platform.parse_rollout(object) {
         Ok(order) => Some(order),
         Err(error) => {
             log::warn!(name = object.name, error:%; "an entry that is no rollout");
@@ -155,7 +155,7 @@
 ) -> Result<Object, StoreError> {
     let platform = &host.platform;
     let path = platform.status_path(Collection::Rollouts, &order.service);
-    let body = platform.rollout_status(order);
+    let body = platform.rollout_status_body(order);
     let answer = match client.write(Method::PUT, &path, body).await {
         Err(StoreError::Status { status }) if status == StatusCode::CONFLICT => {
             let path = platform.object_path(Collection::Rollouts, &order.service);
@@ -163,5 +163,5 @@
         }
         answer => answer?,
     };
-    Ok(platform.object(&answer.body, answer.era)?)
+    Ok(platform.parse_object(&answer.body, answer.era)?)
 }
--- a/crates/jaypin_http/src/connect.rs
+++ b/crates/jaypin_http/src/connect.rs
@@ -26,16 +26,16 @@
 
 /// How long the other side may take.
 #[derive(Debug, Clone, Copy)]
-pub struct ConnectLimits {
+pub struct ConnectTimeouts {
     /// Longest time to open the connection.
-    pub open: Duration,
+    pub connect: Duration,
     /// Time without an acknowledgement after which an open connection is given up.
-    pub silence: Duration,
+    pub unacknowledged: Duration,
 }
 
 /// Why no connection was made; no byte of a request left.
 #[derive(Debug, Snafu)]
-pub enum Unreached {
+pub enum ConnectError {
     /// Nothing listens at the address: its process is gone.
     #[snafu(display("the connection was refused"))]
     Refused,
@@ -50,7 +50,7 @@
     },
 }
 
-impl From<io::Error> for Unreached {
+impl From<io::Error> for ConnectError {
     fn from(source: io::Error) -> Self {
         match source.kind() {
             io::ErrorKind::ConnectionRefused => Self::Refused,
@@ -68,12 +68,15 @@
 ///
 /// # Errors
 /// Says why there is none.
-pub async fn connect(address: &str, limits: ConnectLimits) -> Result<(Sender, Driver), Unreached> {
-    let opened = timeout(limits.open, TcpStream::connect(address)).await;
-    let stream = opened.map_err(|_| Unreached::TimedOut)??;
+pub async fn connect(
+    address: &str,
+    limits: ConnectTimeouts,
+) -> Result<(Sender, Driver), ConnectError> {
+    let opened = timeout(limits.connect, TcpStream::connect(address)).await;
+    let stream = opened.map_err(|_| ConnectError::TimedOut)??;
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
-    socket.set_tcp_user_timeout(Some(limits.silence))?;
+    socket.set_tcp_user_timeout(Some(limits.unacknowledged))?;
     let keepalive = TcpKeepalive::new()
         .with_time(PROBE_PAUSE)
         .with_interval(PROBE_PAUSE)
--- a/crates/jaypin_http/src/lib.rs
+++ b/crates/jaypin_http/src/lib.rs
@@ -7,5 +7,5 @@
 mod connect;
 mod event_reader;
 
-pub use connect::{ConnectLimits, Driver, Sender, Unreached, connect};
+pub use connect::{ConnectError, ConnectTimeouts, Driver, Sender, connect};
 pub use event_reader::EventReader;
--- a/crates/jaypin_http/tests/connect.rs
+++ b/crates/jaypin_http/tests/connect.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use jaypin_http::{ConnectLimits, Unreached, connect};
+use jaypin_http::{ConnectError, ConnectTimeouts, connect};
 use tokio::net::TcpListener;
 
-const LIMITS: ConnectLimits = ConnectLimits {
-    open: Duration::from_millis(500),
-    silence: Duration::from_secs(1),
+const LIMITS: ConnectTimeouts = ConnectTimeouts {
+    connect: Duration::from_millis(500),
+    unacknowledged: Duration::from_secs(1),
 };
 
 /// A backend server's process died, its host lives: the system refuses at once. Callers
@@ -19,7 +19,7 @@
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
     let made = connect(&address, LIMITS).await;
-    assert!(matches!(made, Err(Unreached::Refused)), "{made:?}");
+    assert!(matches!(made, Err(ConnectError::Refused)), "{made:?}");
 }
 
 #[tokio::test]
@@ -32,5 +32,5 @@
 #[tokio::test]
 async fn an_address_that_is_none_fails() {
     let made = connect("no address", LIMITS).await;
-    assert!(matches!(made, Err(Unreached::Failed { .. })), "{made:?}");
+    assert!(matches!(made, Err(ConnectError::Failed { .. })), "{made:?}");
 }
