--- a/crates/jaypin_router/tests/answer_time.rs
+++ b/crates/jaypin_router/tests/answer_time.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Bed, ENGINES, Told, record};
+use common::{ENGINES, TestHost, Told, record};
 use jaypin_router::{BackendSamples, Effect, Event, EventRate, RequestNumber, backend_key};
 
 /// Time between two events of a fast engine and of a slow one.
@@ -14,23 +14,23 @@
 const LONG: u32 = 1_200;
 
 /// Two engines, of which a peer has told the pace.
-fn bed() -> Bed {
-    let mut bed = Bed::new(common::configuration(1));
-    let mut report = common::report(1, common::whole(2));
+fn bed() -> TestHost {
+    let mut bed = TestHost::new(common::configuration(1));
+    let mut report = common::report(1, common::whole_report(2));
     for (id, pace) in [("engine-1", FAST), ("engine-22", SLOW)] {
-        bed.state(record(id, ENGINES, 9));
+        bed.set_entry(record(id, ENGINES, 9));
         report.samples.push(BackendSamples {
             events: 100.0,
             event_seconds: pace.as_secs_f64() * 100.0,
             ..BackendSamples::none(backend_key(id))
         });
     }
-    bed.hear_report(report);
+    bed.receive_report(report);
     bed
 }
 
 /// Events come at a pace.
-fn stream(bed: &mut Bed, number: RequestNumber, events: u32, pace: Duration) -> Vec<Effect> {
+fn stream(bed: &mut TestHost, number: RequestNumber, events: u32, pace: Duration) -> Vec<Effect> {
     let time = pace * events;
     bed.wait(time);
     bed.apply(Event::Streamed {
@@ -40,7 +40,7 @@
     })
 }
 
-fn ask(bed: &mut Bed, expected: u32) -> (RequestNumber, Told) {
+fn ask(bed: &mut TestHost, expected: u32) -> (RequestNumber, Told) {
     bed.arrive_as(|it| {
         it.tokens = Some((600, 4_000));
         it.expected_answer = Some(expected);
--- a/crates/jaypin_router/tests/attempts.rs
+++ b/crates/jaypin_router/tests/attempts.rs
@@ -4,13 +4,13 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Bed, ENGINES, Told, record};
+use common::{ENGINES, TestHost, Told, record};
 use jaypin_core::{Ran, Reason};
 use jaypin_router::{AttemptOutcome as Outcome, Effect, ResendBudget};
 
 /// What a request of a path is told after its first call ended so.
 fn after(path: &str, outcome: Outcome) -> Told {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     let (number, told) = bed.arrive(path, (100, 100));
     assert!(matches!(told, Told::Sent(_)), "{told:?}");
     bed.ended(number, outcome)
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_request_never_goes_to_the_same_backend_server_twice() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     let (number, first) = bed.arrive("/read/1", (0, 0));
     let second = bed.ended(number, Outcome::Failed);
     assert_ne!(first.backend(), second.backend());
@@ -95,7 +95,7 @@
 /// again. After three engines it is refused, as not run.
 #[test]
 fn a_request_that_kills_engines_is_refused_after_three() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     for _ in 0..3 {
         let (number, told) = bed.arrive_as(|it| it.fingerprint = 99);
         assert!(matches!(told, Told::Sent(_)), "{told:?}");
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_leaving_host_takes_requests_for_a_while_and_then_refuses() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     bed.apply(jaypin_router::Event::Drain);
     let (_, told) = bed.arrive("/ask/1", (10, 10));
     assert!(matches!(told, Told::Sent(_)), "{told:?}");
@@ -136,9 +136,9 @@
     for route in &mut configuration.routes {
         route.longest_pause = Some(Duration::from_millis(600));
     }
-    let mut bed = Bed::new(configuration);
-    bed.state(record("engine-1", ENGINES, 9));
-    let pauses = |bed: &mut Bed, path: &str| {
+    let mut bed = TestHost::new(configuration);
+    bed.set_entry(record("engine-1", ENGINES, 9));
+    let pauses = |bed: &mut TestHost, path: &str| {
         let fx = bed.arrive_fx(path, (600, 300));
         fx.iter().find_map(|effect| match effect {
             Effect::Send {
--- a/crates/jaypin_router/tests/common/mod.rs
+++ b/crates/jaypin_router/tests/common/mod.rs
@@ -35,7 +35,7 @@
 }
 
 /// A router under test.
-pub struct Bed {
+pub struct TestHost {
     /// The router.
     pub router: Router,
     /// Now.
@@ -148,7 +148,7 @@
 }
 
 /// What the peer of a number tells in a whole report when it has nothing to tell.
-pub fn whole(peer: u16) -> WholeReport {
+pub fn whole_report(peer: u16) -> WholeReport {
     WholeReport {
         host: format!("host-{peer}").as_str().into(),
         address: address(7_000 + peer),
@@ -196,7 +196,7 @@
     }
 }
 
-impl Bed {
+impl TestHost {
     /// Starts with a configuration that is proved, alone in its fleet, and no backend server.
     pub fn new(configuration: Configuration) -> Self {
         let mut bed = Self::unconfigured();
@@ -218,7 +218,7 @@
     }
 
     /// Starts alone in its fleet, with other bounds and nothing else known.
-    pub fn bounded(change: impl FnOnce(&mut Bounds)) -> Self {
+    pub fn with_bounds(change: impl FnOnce(&mut Bounds)) -> Self {
         let mut bounds = bounds();
         change(&mut bounds);
         let mut bed = Self::with(1, bounds);
@@ -249,16 +249,16 @@
     pub fn usual() -> Self {
         let mut bed = Self::new(configuration(1));
         for id in ["engine-1", "engine-22"] {
-            bed.state(record(id, ENGINES, 9));
+            bed.set_entry(record(id, ENGINES, 9));
         }
         for id in ["plain-1", "plain-22"] {
-            bed.state(record(id, PLAIN, 6));
+            bed.set_entry(record(id, PLAIN, 6));
         }
         bed
     }
 
     /// Hears a report.
-    pub fn hear_report(&mut self, report: Report) -> Vec<Effect> {
+    pub fn receive_report(&mut self, report: Report) -> Vec<Effect> {
         self.apply(Event::ReportReceived {
             report: Box::new(report),
             boot_time: self.boot,
@@ -282,13 +282,13 @@
     }
 
     /// A backend server states something.
-    pub fn state(&mut self, record: BackendRecord) {
+    pub fn set_entry(&mut self, record: BackendRecord) {
         let point = self.point();
         self.apply(Event::BackendChanged(EntryChange::Stated { record, point }));
     }
 
     /// Its entry is removed.
-    pub fn remove(&mut self, id: &str) {
+    pub fn remove_entry(&mut self, id: &str) {
         let point = self.point();
         let id = id.into();
         self.apply(Event::BackendChanged(EntryChange::Removed { id, point }));
--- a/crates/jaypin_router/tests/heavy_days.rs
+++ b/crates/jaypin_router/tests/heavy_days.rs
@@ -5,15 +5,15 @@
 
 use std::time::Duration;
 
-use common::{Bed, ENGINES, Told, record};
+use common::{ENGINES, TestHost, Told, record};
 use jaypin_core::{Ran, Reason};
 use jaypin_router::{AttemptOutcome, BackendLoad, Effect, Event, backend_key};
 
 /// A bed with engines of which all slots are taken by a peer.
-fn full(engines: &[&str]) -> Bed {
-    let mut bed = Bed::new(common::configuration(1));
+fn full(engines: &[&str]) -> TestHost {
+    let mut bed = TestHost::new(common::configuration(1));
     for id in engines {
-        bed.state(record(id, ENGINES, 9));
+        bed.set_entry(record(id, ENGINES, 9));
     }
     let loads = engines.iter().map(|id| (*id, 9));
     bed.hear(loads.collect());
@@ -25,9 +25,9 @@
     fn hear(&mut self, loads: Vec<(&str, u32)>);
 }
 
-impl Hear for Bed {
+impl Hear for TestHost {
     fn hear(&mut self, loads: Vec<(&str, u32)>) {
-        let mut report = common::report(self.revision(), common::whole(2));
+        let mut report = common::report(self.revision(), common::whole_report(2));
         report.loads = loads
             .into_iter()
             .map(|(id, running)| BackendLoad {
@@ -36,7 +36,7 @@
                 unread_tokens: 0,
             })
             .collect();
-        self.hear_report(report);
+        self.receive_report(report);
     }
 }
 
@@ -127,8 +127,8 @@
 /// A slot that this host frees itself goes to its own waiting request without a pause.
 #[test]
 fn a_slot_that_comes_free_here_is_taken_at_once() {
-    let mut bed = Bed::new(common::configuration(1));
-    bed.state(record("engine-1", ENGINES, 1));
+    let mut bed = TestHost::new(common::configuration(1));
+    bed.set_entry(record("engine-1", ENGINES, 1));
     let (first, told) = bed.arrive("/ask/1", (600, 300));
     assert!(matches!(told, Told::Sent(_)));
     let (second, told) = bed.arrive("/ask/1", (600, 300));
@@ -144,7 +144,7 @@
 /// Peers can't see a slot that is taken until they are told.
 #[test]
 fn a_taken_slot_is_told_within_milliseconds() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     bed.hear(Vec::new());
     bed.tick();
     bed.wait(Duration::from_millis(20));
@@ -159,9 +159,9 @@
 /// the time of many short ones.
 #[test]
 fn a_long_answer_is_refused_before_a_short_one() {
-    let mut bed = Bed::new(common::configuration(1));
-    bed.state(record("engine-1", ENGINES, 9));
-    let ask = |bed: &mut Bed, expected| {
+    let mut bed = TestHost::new(common::configuration(1));
+    bed.set_entry(record("engine-1", ENGINES, 9));
+    let ask = |bed: &mut TestHost, expected| {
         bed.arrive_as(|it| {
             it.tokens = Some((2_400, 3_000));
             it.expected_answer = Some(expected);
@@ -186,7 +186,7 @@
 /// Engines differ in speed. A long prompt takes most of its aim on a slow one.
 #[test]
 fn long_prompts_go_to_fast_engines() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     // Both engines show their speed: 60 tokens a millisecond, and 15.
     for (prompt, fast, slow) in [(6_000_u32, 100, 400); 6] {
         let pair = [
@@ -218,7 +218,7 @@
 /// An engine accepts connections and says nothing; its queue looks short for ever.
 #[test]
 fn an_engine_that_hangs_gets_no_more_requests() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     let (_, first) = bed.arrive("/ask/1", (600, 30));
     bed.wait(Duration::from_millis(800));
     bed.prove();
@@ -231,7 +231,7 @@
 /// An engine that fails everything at once would draw all requests by being empty.
 #[test]
 fn an_engine_that_fails_rests() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     for _ in 0..30 {
         let (number, told) = bed.arrive("/urgent/1", (600, 30));
         if told.backend() == "engine-1" {
@@ -253,7 +253,7 @@
 
 #[test]
 fn what_this_host_has_running_is_told_as_a_state() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     bed.hear(Vec::new());
     bed.wait(Duration::from_millis(500));
     bed.tick();
--- a/crates/jaypin_router/tests/lapse.rs
+++ b/crates/jaypin_router/tests/lapse.rs
@@ -4,20 +4,20 @@
 
 use std::time::Duration;
 
-use common::{Bed, ENGINES, Told, record};
+use common::{ENGINES, TestHost, Told, record};
 use jaypin_core::Reason;
 use jaypin_router::{BackendStatus, Event, StorePoint};
 
-fn bed(engines: usize) -> (Bed, Vec<String>) {
-    let mut bed = Bed::new(common::configuration(1));
+fn bed(engines: usize) -> (TestHost, Vec<String>) {
+    let mut bed = TestHost::new(common::configuration(1));
     let ids: Vec<_> = (0..engines).map(|n| format!("engine-{n:03}")).collect();
     for id in &ids {
-        bed.state(record(id, ENGINES, 9));
+        bed.set_entry(record(id, ENGINES, 9));
     }
     (bed, ids)
 }
 
-fn is_served(bed: &mut Bed) -> bool {
+fn is_served(bed: &mut TestHost) -> bool {
     let (_, told) = bed.arrive("/ask/1", (10, 10));
     matches!(told, Told::Sent(_))
 }
@@ -30,7 +30,7 @@
     let (mut bed, _) = bed(1);
     bed.apply(Event::StoreCallFailed);
     bed.wait(Duration::from_millis(1_900));
-    bed.remove("engine-000");
+    bed.remove_entry("engine-000");
     assert!(!is_served(&mut bed));
 }
 
@@ -40,12 +40,12 @@
 fn entries_that_vanish_together_are_used_until_they_are_back() {
     let (mut bed, ids) = bed(18);
     for id in &ids {
-        bed.remove(id);
+        bed.remove_entry(id);
     }
     assert!(is_served(&mut bed));
     bed.wait(Duration::from_secs(1));
     for id in &ids {
-        bed.state(record(id, ENGINES, 9));
+        bed.set_entry(record(id, ENGINES, 9));
     }
     bed.wait(Duration::from_secs(5));
     bed.prove();
@@ -58,7 +58,7 @@
 fn entries_that_do_not_come_back_are_dropped_before_two_seconds() {
     let (mut bed, ids) = bed(18);
     for id in &ids {
-        bed.remove(id);
+        bed.remove_entry(id);
     }
     let due = bed.router.next_tick(bed.now + Duration::from_millis(1_600));
     assert!(due <= bed.now + Duration::from_millis(1_750));
@@ -94,7 +94,7 @@
     let (mut bed, _) = bed(1);
     let mut leaving = record("engine-000", ENGINES, 9);
     leaving.status = BackendStatus::Leaving;
-    bed.state(leaving);
+    bed.set_entry(leaving);
     bed.apply(Event::StoreCallFailed);
     bed.list(Vec::new());
     let (number, told) = bed.arrive("/ask/1", (10, 10));
--- a/crates/jaypin_router/tests/learning.rs
+++ b/crates/jaypin_router/tests/learning.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use common::{Bed, ENGINES, record};
+use common::{ENGINES, TestHost, record};
 use jaypin_router::{AttemptOutcome, BackendSamples, Effect, Event, Report, backend_key};
 
 /// Samples in the reports of a call and of the while after it.
-fn told_of_a_call(bed: &mut Bed, time: Duration) -> Vec<BackendSamples> {
+fn told_of_a_call(bed: &mut TestHost, time: Duration) -> Vec<BackendSamples> {
     let (number, _) = bed.arrive("/ask/1", (600, 30));
     bed.wait(Duration::from_millis(30));
     bed.answered(number);
@@ -29,7 +29,7 @@
 fn report(sequence: u64, samples: Vec<BackendSamples>) -> Report {
     Report {
         samples,
-        ..common::report(sequence, common::whole(2))
+        ..common::report(sequence, common::whole_report(2))
     }
 }
 
@@ -46,13 +46,13 @@
 /// of what it sends.
 #[test]
 fn what_was_learned_is_told_twice_and_not_for_ever() {
-    let mut bed = Bed::new(common::configuration(1));
-    bed.state(record("engine-1", ENGINES, 9));
-    bed.hear_report(report(1, Vec::new()));
+    let mut bed = TestHost::new(common::configuration(1));
+    bed.set_entry(record("engine-1", ENGINES, 9));
+    bed.receive_report(report(1, Vec::new()));
     let first = told_of_a_call(&mut bed, Duration::from_secs(3));
     assert_eq!(first.iter().map(|it| it.good).collect::<Vec<_>>(), [1, 1]);
     bed.prove();
-    bed.hear_report(report(2, Vec::new()));
+    bed.receive_report(report(2, Vec::new()));
     let again = told_of_a_call(&mut bed, Duration::from_secs(3));
     assert_eq!(again.iter().map(|it| it.good).collect::<Vec<_>>(), [2, 2]);
 }
@@ -60,11 +60,11 @@
 /// A peer's engine fails everything; this host has not called it and must not have to.
 #[test]
 fn a_peer_that_was_heard_from_its_start_teaches_at_once() {
-    let mut bed = Bed::new(common::configuration(1));
-    bed.state(record("engine-1", ENGINES, 9));
-    bed.state(record("engine-22", ENGINES, 9));
-    bed.hear_report(report(1, Vec::new()));
-    bed.hear_report(report(2, vec![failures(20)]));
+    let mut bed = TestHost::new(common::configuration(1));
+    bed.set_entry(record("engine-1", ENGINES, 9));
+    bed.set_entry(record("engine-22", ENGINES, 9));
+    bed.receive_report(report(1, Vec::new()));
+    bed.receive_report(report(2, vec![failures(20)]));
     let (_, told) = bed.arrive("/ask/1", (600, 30));
     assert_eq!(told.backend(), "engine-22");
 }
@@ -73,14 +73,14 @@
 /// that time says nothing of now.
 #[test]
 fn totals_of_a_peer_that_ran_before_are_where_its_differences_begin() {
-    let mut bed = Bed::new(common::configuration(1));
-    bed.state(record("engine-1", ENGINES, 9));
-    bed.hear_report(report(5_000, Vec::new()));
-    bed.hear_report(report(5_001, vec![failures(2_000)]));
+    let mut bed = TestHost::new(common::configuration(1));
+    bed.set_entry(record("engine-1", ENGINES, 9));
+    bed.receive_report(report(5_000, Vec::new()));
+    bed.receive_report(report(5_001, vec![failures(2_000)]));
     let (_, told) = bed.arrive("/ask/1", (600, 30));
     assert_eq!(told.backend(), "engine-1");
-    bed.hear_report(report(5_002, vec![failures(2_020)]));
-    bed.state(record("engine-22", ENGINES, 9));
+    bed.receive_report(report(5_002, vec![failures(2_020)]));
+    bed.set_entry(record("engine-22", ENGINES, 9));
     let (_, told) = bed.arrive("/ask/1", (600, 30));
     assert_eq!(told.backend(), "engine-22");
 }
--- a/crates/jaypin_router/tests/leaving_backends.rs
+++ b/crates/jaypin_router/tests/leaving_backends.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use common::{Bed, ENGINES, configuration, record};
+use common::{ENGINES, TestHost, configuration, record};
 use fleet::{Answer, Backends, Call, Fleet};
 use jaypin_core::BackendId;
 use jaypin_router::{AttemptOutcome, BackendRecord, BackendSignals, Event, SignalReport};
@@ -19,13 +19,13 @@
 };
 
 /// A bed in which `engine-1` has answered one request and said that it leaves.
-fn told_bed() -> Bed {
-    let mut bed = Bed::usual();
+fn told_bed() -> TestHost {
+    let mut bed = TestHost::usual();
     say_leaving(&mut bed, "engine-1");
     bed
 }
 
-fn say_leaving(bed: &mut Bed, id: &str) {
+fn say_leaving(bed: &mut TestHost, id: &str) {
     for _ in 0..100 {
         let (number, told) = bed.arrive("/ask/x", (600, 30));
         if told.backend() != id {
@@ -45,7 +45,7 @@
 }
 
 /// Where the next requests are sent.
-fn places(bed: &mut Bed) -> Vec<String> {
+fn places(bed: &mut TestHost) -> Vec<String> {
     let mut places = Vec::new();
     for _ in 0..6 {
         let (_, told) = bed.arrive("/ask/x", (600, 30));
@@ -75,24 +75,24 @@
 
 // Guards against new work for a backend server that said it leaves, whatever the store says.
 barred! {
-    nothing_new_is_sent_after_the_word: |_: &mut Bed| {};
-    a_listing_that_calls_it_ready_changes_nothing: |bed: &mut Bed| {
+    nothing_new_is_sent_after_the_word: |_: &mut TestHost| {};
+    a_listing_that_calls_it_ready_changes_nothing: |bed: &mut TestHost| {
         bed.list(vec![record("engine-1", ENGINES, 9), record("engine-22", ENGINES, 9)]);
     };
-    its_entry_stated_again_changes_nothing: |bed: &mut Bed| bed.state(record("engine-1", ENGINES, 9));
-    an_entry_that_vanished_and_is_back_changes_nothing: |bed: &mut Bed| {
-        bed.remove("engine-1");
+    its_entry_stated_again_changes_nothing: |bed: &mut TestHost| bed.set_entry(record("engine-1", ENGINES, 9));
+    an_entry_that_vanished_and_is_back_changes_nothing: |bed: &mut TestHost| {
+        bed.remove_entry("engine-1");
         bed.tick();
-        bed.state(record("engine-1", ENGINES, 9));
+        bed.set_entry(record("engine-1", ENGINES, 9));
     };
-    time_changes_nothing: |bed: &mut Bed| {
+    time_changes_nothing: |bed: &mut TestHost| {
         for _ in 0..200 {
             bed.wait(Duration::from_secs(1));
             bed.prove();
             bed.tick();
         }
     };
-    an_answer_without_the_word_changes_nothing: |bed: &mut Bed| {
+    an_answer_without_the_word_changes_nothing: |bed: &mut TestHost| {
         let signals = BackendSignals::default();
         bed.apply(Event::HeaderReceived { number: 1, signals, backoff: None });
     };
@@ -102,22 +102,22 @@
 #[test]
 fn the_next_process_with_its_id_is_used() {
     let mut bed = told_bed();
-    bed.state(other_run("engine-1"));
+    bed.set_entry(other_run("engine-1"));
     assert!(places(&mut bed).contains(&"engine-1".to_owned()));
 }
 
 /// Guards against hosts that each have to send a request to hear of it.
 #[test]
 fn a_peer_that_was_told_is_enough() {
-    let mut bed = Bed::usual();
-    let mut report = common::report(1, common::whole(2));
+    let mut bed = TestHost::usual();
+    let mut report = common::report(1, common::whole_report(2));
     report.signals.push(SignalReport {
         key: jaypin_router::backend_key("engine-1"),
         started: 1,
         signals: LEAVING,
         age: Duration::from_millis(5),
     });
-    bed.hear_report(report);
+    bed.receive_report(report);
     assert!(!places(&mut bed).contains(&"engine-1".to_owned()));
 }
 
--- a/crates/jaypin_router/tests/odd_settings.rs
+++ b/crates/jaypin_router/tests/odd_settings.rs
@@ -4,15 +4,15 @@
 
 use std::time::Duration;
 
-use common::{Bed, ENGINES, Told, record, token_quota};
+use common::{ENGINES, TestHost, Told, record, token_quota};
 use jaypin_router::Configuration;
 
 /// Arrivals within five seconds, one of them served at least.
 fn is_served(change: impl FnOnce(&mut Configuration), path: &str, slots: u32) -> bool {
     let mut configuration = common::configuration(1);
     change(&mut configuration);
-    let mut bed = Bed::new(configuration);
-    bed.state(record("engine-1", ENGINES, slots));
+    let mut bed = TestHost::new(configuration);
+    bed.set_entry(record("engine-1", ENGINES, slots));
     for _ in 0..20 {
         if matches!(bed.arrive(path, (600, 20)).1, Told::Sent(_)) {
             return true;
--- a/crates/jaypin_router/tests/order.rs
+++ b/crates/jaypin_router/tests/order.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use common::{Bed, ENGINES, PLAIN, Told, record};
+use common::{ENGINES, PLAIN, TestHost, Told, record};
 use jaypin_router::{
     ArrivalCount, ArrivalRates, AttemptOutcome, BackendLoad, Effect, MinimumShares, Rank, Report,
     backend_key, reserved_slots, service_key,
@@ -21,8 +21,8 @@
 };
 
 /// A peer that has `running` requests on one engine and was asked so many urgent ones.
-fn pressed(bed: &mut Bed, running: u32, urgent: u32) -> Report {
-    let mut report = common::report(bed.revision(), common::whole(2));
+fn pressed(bed: &mut TestHost, running: u32, urgent: u32) -> Report {
+    let mut report = common::report(bed.revision(), common::whole_report(2));
     report.loads = vec![BackendLoad {
         key: backend_key("engine-1"),
         running,
@@ -40,12 +40,12 @@
 
 /// One engine with 40 slots, of which `free` are free, and a fleet that is asked for 60
 /// urgent requests within a moment.
-fn under_urgent_load(free: u32) -> Bed {
-    let mut bed = Bed::new(common::configuration(1));
-    bed.state(record("engine-1", ENGINES, 40));
+fn under_urgent_load(free: u32) -> TestHost {
+    let mut bed = TestHost::new(common::configuration(1));
+    bed.set_entry(record("engine-1", ENGINES, 40));
     for urgent in [0, 60] {
         let report = pressed(&mut bed, 40 - free, urgent);
-        bed.hear_report(report);
+        bed.receive_report(report);
     }
     bed
 }
@@ -75,7 +75,7 @@
 #[test]
 fn the_last_slots_go_to_short_answers_of_a_rank() {
     let mut bed = under_urgent_load(3);
-    let ask = |bed: &mut Bed, expected| {
+    let ask = |bed: &mut TestHost, expected| {
         let (_, told) = bed.arrive_as(|it| {
             "/urgent/1".clone_into(&mut it.path);
             it.tokens = Some((600, 3_000));
@@ -91,8 +91,8 @@
 /// Nobody else asks, so a long answer takes the last slot.
 #[test]
 fn a_long_answer_takes_the_last_slot_of_a_quiet_fleet() {
-    let mut bed = Bed::new(common::configuration(1));
-    bed.state(record("engine-1", ENGINES, 1));
+    let mut bed = TestHost::new(common::configuration(1));
+    bed.set_entry(record("engine-1", ENGINES, 1));
     let (_, told) = bed.arrive_as(|it| {
         it.tokens = Some((600, 3_000));
         it.expected_answer = Some(3_000);
@@ -104,9 +104,9 @@
 /// request was refused because only the best was looked at.
 #[test]
 fn a_place_that_serves_goes_before_one_that_does_not() {
-    let mut bed = Bed::new(common::configuration(1));
+    let mut bed = TestHost::new(common::configuration(1));
     for id in ["engine-1", "engine-22"] {
-        bed.state(record(id, ENGINES, 1));
+        bed.set_entry(record(id, ENGINES, 1));
     }
     // One engine reads a prompt in 60 ms and the other in 400, and each answer takes 100 more.
     for _ in 0..8 {
@@ -129,13 +129,13 @@
         bed.boot += Duration::from_millis(514);
         bed.prove();
     }
-    let mut report = common::report(bed.revision(), common::whole(2));
+    let mut report = common::report(bed.revision(), common::whole_report(2));
     report.loads = vec![BackendLoad {
         key: backend_key("engine-1"),
         running: 1,
         unread_tokens: 0,
     }];
-    bed.hear_report(report);
+    bed.receive_report(report);
     let (_, told) = bed.arrive("/urgent/1", (6_000, 30));
     assert_eq!(told.backend(), "engine-22");
 }
@@ -143,11 +143,11 @@
 /// A quiet fleet has one slot free. Nothing urgent is asked for, so nothing is kept.
 #[test]
 fn nothing_is_kept_where_nothing_urgent_is_asked() {
-    let mut bed = Bed::new(common::configuration(1));
-    bed.state(record("engine-1", ENGINES, 40));
+    let mut bed = TestHost::new(common::configuration(1));
+    bed.set_entry(record("engine-1", ENGINES, 40));
     for _ in 0..2 {
         let report = pressed(&mut bed, 39, 0);
-        bed.hear_report(report);
+        bed.receive_report(report);
     }
     let (_, told) = bed.arrive("/label/1", (600, 20));
     assert!(matches!(told, Told::Sent(_)), "{told:?}");
@@ -160,7 +160,7 @@
     bed.wait(Duration::from_secs(8));
     bed.prove();
     let report = pressed(&mut bed, 38, 60);
-    bed.hear_report(report);
+    bed.receive_report(report);
     let (_, told) = bed.arrive("/label/1", (600, 20));
     assert!(matches!(told, Told::Sent(_)), "{told:?}");
 }
@@ -173,8 +173,8 @@
     let urgent = common::route("vip", jaypin_router::Repeat::Idempotent, PLAIN);
     let urgent = common::RouteExt::with_priority(urgent, 0);
     configuration.routes.push(urgent);
-    let mut bed = Bed::new(configuration);
-    bed.state(record("plain-1", PLAIN, 6));
+    let mut bed = TestHost::new(configuration);
+    bed.set_entry(record("plain-1", PLAIN, 6));
     for _ in 0..60 {
         let (number, _) = bed.arrive("/vip/1", (0, 0));
         bed.wait(Duration::from_millis(15));
@@ -196,11 +196,11 @@
     for route in &mut configuration.routes {
         route.latency_target = Duration::from_millis(if route.priority == 0 { 500 } else { 2_000 });
     }
-    let mut bed = Bed::new(configuration);
-    bed.state(record("engine-1", ENGINES, 120));
+    let mut bed = TestHost::new(configuration);
+    bed.set_entry(record("engine-1", ENGINES, 120));
     for urgent in [0, 60] {
         let report = pressed(&mut bed, 120, urgent);
-        bed.hear_report(report);
+        bed.receive_report(report);
     }
     let labels = (0..20).map(|_| bed.arrive("/label/1", (60, 20)).1);
     let sent = labels.filter(|told| matches!(told, Told::Sent(_))).count();
@@ -279,7 +279,7 @@
         bed.wait(Duration::from_millis(190));
         bed.prove();
         let report = pressed(&mut bed, 38, 60 + turn * 15);
-        bed.hear_report(report);
+        bed.receive_report(report);
         let mut fx = bed.arrive_fx("/label/1", (600, 20));
         bed.wait(Duration::from_millis(60));
         fx.extend(bed.tick());
--- a/crates/jaypin_router/tests/proof.rs
+++ b/crates/jaypin_router/tests/proof.rs
@@ -4,12 +4,12 @@
 
 use std::time::Duration;
 
-use common::{Bed, Told, configuration, record};
+use common::{TestHost, Told, configuration, record};
 use jaypin_core::{Ran, Reason};
 use jaypin_router::{Effect, Event, PeerClock, Report, StoreView, WholeReport};
 
-fn unproved() -> Bed {
-    let mut bed = Bed::usual();
+fn unproved() -> TestHost {
+    let mut bed = TestHost::usual();
     bed.wait(Duration::from_millis(4_100));
     bed
 }
@@ -29,7 +29,7 @@
 /// young as ever.
 #[test]
 fn suspended_time_counts() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     bed.boot += Duration::from_secs(10);
     let (_, told) = bed.arrive("/ask/1", (10, 10));
     assert_eq!(told.refusal().reason, Reason::Unproven);
@@ -63,8 +63,8 @@
     for route in &mut configuration.routes {
         route.is_public = true;
     }
-    let mut bed = Bed::new(configuration);
-    bed.state(record("engine-1", "engines", 9));
+    let mut bed = TestHost::new(configuration);
+    bed.set_entry(record("engine-1", "engines", 9));
     bed.wait(Duration::from_mins(1));
     let (_, told) = bed.arrive("/ask/1", (10, 10));
     assert!(matches!(told, Told::Sent(_)), "{told:?}");
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_host_without_a_configuration_is_not_ready() {
-    let mut bed = Bed::unconfigured();
+    let mut bed = TestHost::unconfigured();
     let (_, told) = bed.arrive("/ask/1", (10, 10));
     assert_eq!(told.refusal().reason, Reason::NotReady);
     assert!(!bed.router.is_ready(bed.boot));
@@ -121,7 +121,7 @@
             digest: 0,
             era: None,
         },
-        ..common::whole(2)
+        ..common::whole_report(2)
     };
     common::report(sequence, whole)
 }
@@ -129,7 +129,7 @@
 /// Lets a peer prove the configuration for a while, by a clock that is ahead by `ahead` and
 /// that it states wrongly by `error`; then lets time go on without it.
 fn is_proved_after(ahead: Duration, error: Duration) -> bool {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     for sequence in 1..20 {
         bed.wait(Duration::from_millis(300));
         let clock = bed.boot + ahead;
@@ -152,11 +152,11 @@
 /// All hosts of a large fleet ask the store because none of them watches any more.
 #[test]
 fn a_proof_of_a_peer_that_does_not_watch_holds_too() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     for sequence in 1..20 {
         bed.wait(Duration::from_millis(300));
         let report = peer_report(sequence, bed.boot, bed.boot, false);
-        bed.hear_report(report);
+        bed.receive_report(report);
     }
     assert!(bed.router.has_fresh_proof(bed.boot));
 }
@@ -174,7 +174,7 @@
 
 #[test]
 fn nothing_is_reported_before_the_clock_was_read() {
-    let mut bed = Bed::unconfigured();
+    let mut bed = TestHost::unconfigured();
     let found = Event::HostsListed(vec![("host-2".into(), common::address(7_002))]);
     assert_eq!(bed.apply(found), []);
     assert!(matches!(bed.tick()[..], [Effect::SendReport { .. }]));
@@ -184,7 +184,7 @@
 /// how old the host's knowledge was.
 #[test]
 fn a_refusal_for_want_of_a_proof_names_its_age() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     bed.wait(Duration::from_secs(5));
     let grounds = bed.arrive_fx("/ask/1", (600, 300));
     let grounds = grounds.into_iter().find_map(|effect| match effect {
--- a/crates/jaypin_router/tests/quota_at_start.rs
+++ b/crates/jaypin_router/tests/quota_at_start.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Bed, ENGINES, Told, record, token_quota};
+use common::{ENGINES, TestHost, Told, record, token_quota};
 use jaypin_router::Event;
 
 /// Numbers of the other twelve hosts.
@@ -16,28 +16,28 @@
 const UNITS: f64 = 100.0;
 
 /// A host that has just started, with a few backend servers and one limited account.
-fn started() -> Bed {
+fn started() -> TestHost {
     let mut configuration = common::configuration(1);
     configuration.accounts[0].quota = Some(token_quota(RATE, 0.0));
-    let mut bed = Bed::unconfigured();
+    let mut bed = TestHost::unconfigured();
     bed.configure(configuration);
     bed.prove();
     bed.tick();
     for number in 0..200 {
-        bed.state(record(&format!("engine-{number}"), ENGINES, 9));
+        bed.set_entry(record(&format!("engine-{number}"), ENGINES, 9));
     }
     bed
 }
 
 /// Other hosts, as the store lists them.
-fn find(bed: &mut Bed, others: std::ops::Range<u16>) {
-    let wholes = others.map(common::whole);
+fn find(bed: &mut TestHost, others: std::ops::Range<u16>) {
+    let wholes = others.map(common::whole_report);
     let hosts = wholes.map(|it| (it.host, it.address));
     bed.apply(Event::HostsListed(hosts.collect()));
 }
 
 /// Presses with more requests than any quota allows; gives the units that were taken.
-fn press(bed: &mut Bed) -> f64 {
+fn press(bed: &mut TestHost) -> f64 {
     let sent = (0..250).filter(|_| {
         let (_, told) = bed.arrive("/label/1", (50, 50));
         matches!(told, Told::Sent(_))
@@ -85,7 +85,7 @@
     let mut bed = started();
     find(&mut bed, OTHERS);
     for peer in OTHERS {
-        bed.hear_report(common::report(1, common::whole(peer)));
+        bed.receive_report(common::report(1, common::whole_report(peer)));
     }
     bed.wait(Duration::from_millis(100));
     let taken = press(&mut bed);
--- a/crates/jaypin_router/tests/quota_order.rs
+++ b/crates/jaypin_router/tests/quota_order.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Bed, ENGINES, PLAIN, Told, record, token_quota};
+use common::{ENGINES, PLAIN, TestHost, Told, record, token_quota};
 use jaypin_core::{AccountId, Reason};
 use jaypin_router::{Account, AccountArrivals, AttemptOutcome, FleetQuota, service_key};
 
@@ -15,14 +15,14 @@
 }
 
 /// A host alone, with an account that may use 10,000 units a second.
-fn limited() -> Bed {
+fn limited() -> TestHost {
     let mut configuration = common::configuration(1);
     configuration.accounts[0].quota = Some(token_quota(RATE, RATE));
-    let mut bed = Bed::new(configuration);
+    let mut bed = TestHost::new(configuration);
     for id in ["engine-1", "engine-22"] {
-        bed.state(record(id, ENGINES, 1_000));
+        bed.set_entry(record(id, ENGINES, 1_000));
     }
-    bed.state(record("plain-1", PLAIN, 1_000));
+    bed.set_entry(record("plain-1", PLAIN, 1_000));
     // Its quota has filled up.
     bed.wait(Duration::from_secs(3));
     bed.prove();
@@ -30,7 +30,7 @@
 }
 
 /// A request that is over as soon as it is sent.
-fn ask(bed: &mut Bed, path: &str, tokens: Option<(u32, u32)>) -> Told {
+fn ask(bed: &mut TestHost, path: &str, tokens: Option<(u32, u32)>) -> Told {
     let (number, told) = bed.arrive_as(|it| {
         path.clone_into(&mut it.path);
         it.tokens = tokens;
--- a/crates/jaypin_router/tests/requested_backoff.rs
+++ b/crates/jaypin_router/tests/requested_backoff.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use common::{Bed, ENGINES, PLAIN, Told, configuration, record};
+use common::{ENGINES, PLAIN, TestHost, Told, configuration, record};
 use fleet::{Answer, Backends, Call, Fleet};
 use jaypin_core::BackendId;
 use jaypin_router::{AttemptOutcome, BackendSignals, Event};
@@ -18,7 +18,7 @@
 
 /// Sends requests until one reaches a backend server, which turns it away and requests backoff.
 /// Gives what the request was told then.
-fn turn_away(bed: &mut Bed, path: &str, id: &str, backoff: Duration) -> Told {
+fn turn_away(bed: &mut TestHost, path: &str, id: &str, backoff: Duration) -> Told {
     for _ in 0..100 {
         let (number, told) = bed.arrive(path, (600, 30));
         if told.backend() != id {
@@ -36,13 +36,13 @@
 }
 
 /// Whether one of the next requests is sent to a backend server.
-fn is_used(bed: &mut Bed, path: &str, id: &str) -> bool {
+fn is_used(bed: &mut TestHost, path: &str, id: &str) -> bool {
     let told = (0..6).map(|_| bed.arrive(path, (600, 30)).1);
     let told: Vec<_> = told.collect();
     told.contains(&Told::Sent(id.into()))
 }
 
-fn wait(bed: &mut Bed, time: Duration) {
+fn wait(bed: &mut TestHost, time: Duration) {
     let end = bed.now + time;
     while bed.now < end {
         bed.wait(Duration::from_millis(100));
@@ -56,7 +56,7 @@
         $(
             #[test]
             fn $name() {
-                let mut bed = Bed::usual();
+                let mut bed = TestHost::usual();
                 turn_away(&mut bed, "/ask/x", "engine-1", BACKOFF);
                 ($act)(&mut bed);
                 assert!(!is_used(&mut bed, "/ask/x", "engine-1"));
@@ -67,24 +67,24 @@
 
 // Guards against requests to a backend server within the backoff that it requested of this host.
 kept! {
-    a_backoff_begins_at_once: |_: &mut Bed| {};
-    a_backoff_lasts_for_its_time: |bed: &mut Bed| wait(bed, Duration::from_millis(2_900));
-    a_backoff_outlasts_a_restated_entry: |bed: &mut Bed| {
+    a_backoff_begins_at_once: |_: &mut TestHost| {};
+    a_backoff_lasts_for_its_time: |bed: &mut TestHost| wait(bed, Duration::from_millis(2_900));
+    a_backoff_outlasts_a_restated_entry: |bed: &mut TestHost| {
         wait(bed, Duration::from_secs(2));
-        bed.state(record("engine-1", ENGINES, 10));
+        bed.set_entry(record("engine-1", ENGINES, 10));
     };
-    a_backoff_outlasts_an_entry_that_vanished_and_is_back: |bed: &mut Bed| {
+    a_backoff_outlasts_an_entry_that_vanished_and_is_back: |bed: &mut TestHost| {
         wait(bed, Duration::from_secs(2));
-        bed.remove("engine-1");
+        bed.remove_entry("engine-1");
         bed.tick();
-        bed.state(record("engine-1", ENGINES, 9));
+        bed.set_entry(record("engine-1", ENGINES, 9));
     };
 }
 
 /// Guards against two calls that were under way: the answer that comes last asks for less.
 #[test]
 fn a_shorter_backoff_does_not_end_a_longer_one() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     let all: Vec<_> = (0..10).map(|_| bed.arrive("/ask/x", (600, 30))).collect();
     let there = |told: &Told| *told == Told::Sent("engine-1".into());
     let calls: Vec<_> = all.iter().filter(|it| there(&it.1)).take(2).collect();
@@ -106,7 +106,7 @@
 /// Guards against a backend server that is never used again.
 #[test]
 fn a_backend_server_is_used_again_after_its_rest() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     turn_away(&mut bed, "/ask/x", "engine-1", BACKOFF);
     wait(&mut bed, BACKOFF + Duration::from_secs(2));
     assert!(is_used(&mut bed, "/ask/x", "engine-1"));
@@ -115,18 +115,18 @@
 /// Guards against a backoff that outlives the process that asked for it.
 #[test]
 fn the_next_process_with_its_id_did_not_request_backoff() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     turn_away(&mut bed, "/ask/x", "engine-1", BACKOFF);
     let mut next = record("engine-1", ENGINES, 9);
     next.started = 2;
-    bed.state(next);
+    bed.set_entry(next);
     assert!(is_used(&mut bed, "/ask/x", "engine-1"));
 }
 
 /// Guards against callers that are told to come back while all backend servers want a pause.
 #[test]
 fn a_caller_is_told_to_come_back_after_the_first_backoff_ends() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     turn_away(&mut bed, "/read/x", "plain-1", BACKOFF);
     turn_away(&mut bed, "/read/x", "plain-22", Duration::from_secs(2));
     let (number, told) = bed.arrive("/read/x", (0, 0));
@@ -144,7 +144,7 @@
 /// another answer requests backoff.
 #[test]
 fn a_request_that_is_not_sent_yet_goes_elsewhere() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     let all: Vec<_> = (0..10).map(|_| bed.arrive("/command/x", (0, 0))).collect();
     let there = |it: &&(u64, Told)| it.1 == Told::Sent("plain-1".into());
     let calls: Vec<_> = all.iter().filter(there).collect();
--- a/crates/jaypin_router/tests/rollouts.rs
+++ b/crates/jaypin_router/tests/rollouts.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Bed, ENGINES, configuration, record};
+use common::{ENGINES, TestHost, configuration, record};
 use jaypin_router::{
     AttemptOutcome, Effect, Event, ExposureBound, RolloutOrder, RolloutReport, RolloutState,
     StorePoint, VersionOutcomes,
@@ -21,7 +21,7 @@
 }
 
 /// A host before two old and two new engines.
-fn bed() -> Bed {
+fn bed() -> TestHost {
     let mut bed = bed_of_old();
     for (id, started) in [("new-1", 20), ("new-2", 21)] {
         state(&mut bed, id, "v2", started);
@@ -30,8 +30,8 @@
 }
 
 /// A host before two old engines.
-fn bed_of_old() -> Bed {
-    let mut bed = Bed::bounded(|bounds| {
+fn bed_of_old() -> TestHost {
+    let mut bed = TestHost::with_bounds(|bounds| {
         bounds.exposure = Some(ExposureBound {
             share: 0.5,
             slack: 50.0,
@@ -46,19 +46,19 @@
     bed
 }
 
-fn state(bed: &mut Bed, id: &str, version: &str, started: u64) {
+fn state(bed: &mut TestHost, id: &str, version: &str, started: u64) {
     let mut record = record(id, ENGINES, 9);
     record.version = version.into();
     record.started = started;
-    bed.state(record);
+    bed.set_entry(record);
 }
 
-fn told(bed: &mut Bed, order: RolloutOrder) {
+fn told(bed: &mut TestHost, order: RolloutOrder) {
     bed.apply(Event::RolloutOrderRead(order));
 }
 
 /// Which backend servers get forty requests, each answered at once.
-fn served(bed: &mut Bed) -> Vec<String> {
+fn served(bed: &mut TestHost) -> Vec<String> {
     let mut all = Vec::new();
     for _ in 0..40 {
         let (number, told) = bed.arrive("/ask/x", (100, 100));
@@ -111,11 +111,11 @@
 /// A deployment without a bound for new versions loses the backend servers that differ.
 #[test]
 fn versions_are_not_told_apart_without_a_bound() {
-    let mut bed = Bed::new(configuration(1));
+    let mut bed = TestHost::new(configuration(1));
     for (id, version) in [("a", "v1"), ("b", "v2")] {
         let mut record = record(id, ENGINES, 9);
         record.version = version.into();
-        bed.state(record);
+        bed.set_entry(record);
     }
     let all = served(&mut bed);
     let of_b = all.iter().filter(|it| *it == "b").count();
@@ -126,8 +126,8 @@
 #[test]
 fn a_version_that_alone_is_left_serves() {
     let mut bed = bed();
-    bed.remove("old-1");
-    bed.remove("old-2");
+    bed.remove_entry("old-1");
+    bed.remove_entry("old-2");
     // Entries that vanish together may have lapsed, and are used a little longer.
     bed.wait(Duration::from_secs(2));
     bed.prove();
@@ -140,7 +140,7 @@
 fn a_peer_s_verdict_ends_the_trial() {
     let mut bed = bed();
     told(&mut bed, order("v2", 5, Running));
-    let mut whole = common::whole(2);
+    let mut whole = common::whole_report(2);
     whole.rollouts.push(RolloutReport {
         order: order("v2", 5, Running),
         age: Duration::from_secs(1),
@@ -148,7 +148,7 @@
         is_end_lost: false,
         outcomes: VersionOutcomes::default(),
     });
-    bed.hear_report(common::report(1, whole));
+    bed.receive_report(common::report(1, whole));
     assert_eq!(new_ones(&served(&mut bed)), 0);
 }
 
@@ -198,8 +198,8 @@
 #[test]
 fn a_version_that_turns_out_to_be_tried_is_not_in_force() {
     let mut bed = bed();
-    bed.remove("old-1");
-    bed.remove("old-2");
+    bed.remove_entry("old-1");
+    bed.remove_entry("old-2");
     bed.wait(Duration::from_secs(2));
     bed.prove();
     bed.tick();
--- a/crates/jaypin_router/tests/routes.rs
+++ b/crates/jaypin_router/tests/routes.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Bed, Told, configuration, route};
+use common::{TestHost, Told, configuration, route};
 use jaypin_router::{Repeat, RouteTable, Unrouted};
 
 fn table() -> RouteTable {
@@ -43,7 +43,7 @@
         $(
             #[test]
             fn $name() {
-                let mut bed = Bed::usual();
+                let mut bed = TestHost::usual();
                 let (_, told) = bed.arrive_as(|it| {
                     it.credential = $credential;
                     it.path = $path.to_owned();
@@ -66,7 +66,7 @@
 /// Versions are read by a watch and by a listing, and the older one may be read last.
 #[test]
 fn an_older_configuration_never_replaces_a_newer_one() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     let mut newer = configuration(5);
     newer.routes.retain(|it| it.name != "ask");
     bed.configure(newer);
--- a/crates/jaypin_router/tests/store_eras.rs
+++ b/crates/jaypin_router/tests/store_eras.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Bed, ENGINES, Told, configuration, record};
+use common::{ENGINES, TestHost, Told, configuration, record};
 use jaypin_router::{
     BackendRecord, BackendStatus, Effect, EntryChange, Event, ExposureBound, RolloutOrder,
     RolloutReport, RolloutState, StorePoint, VersionOutcomes,
@@ -21,7 +21,7 @@
     EntryChange::Stated { record, point }
 }
 
-fn uses(bed: &mut Bed, id: &str) -> bool {
+fn uses(bed: &mut TestHost, id: &str) -> bool {
     let told: Vec<_> = (0..6).map(|_| bed.arrive("/ask/x", (600, 30)).1).collect();
     told.contains(&Told::Sent(id.into()))
 }
@@ -29,12 +29,12 @@
 /// Guards against a peer of the former era that overrules a host that knows better.
 #[test]
 fn a_report_of_the_former_era_changes_nothing() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     bed.apply(Event::BackendChanged(stated(leaving("engine-1"), 2, 3)));
-    let mut report = common::report(1, common::whole(2));
+    let mut report = common::report(1, common::whole_report(2));
     let old = record("engine-1", ENGINES, 9);
     report.changes.push(stated(old.clone(), 1, 900));
-    bed.hear_report(report);
+    bed.receive_report(report);
     bed.apply(Event::EntriesTransferred(vec![stated(old, 1, 901)]));
     assert!(!uses(&mut bed, "engine-1"));
 }
@@ -42,7 +42,7 @@
 /// Guards against an entry of the new era that is dropped because its revision is lower.
 #[test]
 fn a_lower_revision_of_a_later_era_is_newer() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     bed.apply(Event::BackendChanged(stated(
         record("new-1", ENGINES, 9),
         1,
@@ -55,7 +55,7 @@
 /// Guards against an entry that the copy has and that is gone by the new history.
 #[test]
 fn a_listing_of_a_later_era_replaces_what_is_known() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     bed.era = 2;
     bed.list(vec![record("engine-22", ENGINES, 9)]);
     bed.wait(Duration::from_secs(3));
@@ -67,7 +67,7 @@
 /// Guards against backend servers that are dropped although they only have to write again.
 #[test]
 fn an_entry_that_the_copy_lacks_is_used_for_a_while() {
-    let mut bed = Bed::usual();
+    let mut bed = TestHost::usual();
     bed.apply(Event::StoreEra(1));
     bed.apply(Event::StoreEra(2));
     bed.era = 2;
@@ -78,14 +78,14 @@
 /// Guards against a process that left and that the copy calls ready.
 #[test]
 fn a_process_that_left_is_not_ready_again() {
-    let mut bed = Bed::usual();
-    bed.state(leaving("engine-1"));
+    let mut bed = TestHost::usual();
+    bed.set_entry(leaving("engine-1"));
     bed.era = 2;
-    bed.state(record("engine-1", ENGINES, 9));
+    bed.set_entry(record("engine-1", ENGINES, 9));
     assert!(!uses(&mut bed, "engine-1"));
     let mut next = record("engine-1", ENGINES, 9);
     next.started = 2;
-    bed.state(next);
+    bed.set_entry(next);
     assert!(uses(&mut bed, "engine-1"));
 }
 
@@ -102,8 +102,8 @@
 }
 
 /// A bed that brings in versions, with an order that has ended.
-fn ended_bed(state: RolloutState) -> Bed {
-    let mut bed = Bed::bounded(|bounds| {
+fn ended_bed(state: RolloutState) -> TestHost {
+    let mut bed = TestHost::with_bounds(|bounds| {
         bounds.exposure = Some(ExposureBound {
             share: 0.1,
             slack: 50.0,
@@ -112,7 +112,7 @@
     bed.configure(configuration(1));
     bed.prove();
     bed.tick();
-    bed.state(record("engine-1", ENGINES, 9));
+    bed.set_entry(record("engine-1", ENGINES, 9));
     bed.apply(Event::RolloutOrderRead(order(
         "v2",
         1,
@@ -124,7 +124,7 @@
 }
 
 /// Writes of the next seconds.
-fn writes(bed: &mut Bed) -> Vec<RolloutOrder> {
+fn writes(bed: &mut TestHost) -> Vec<RolloutOrder> {
     let mut writes = Vec::new();
     for _ in 0..20 {
         bed.wait(Duration::from_millis(100));
@@ -192,7 +192,7 @@
         400,
         RolloutState::Running,
     )));
-    let mut whole = common::whole(2);
+    let mut whole = common::whole_report(2);
     whole.rollouts.push(RolloutReport {
         order: order("v3", 2, 400, RolloutState::RolledBack),
         age: Duration::from_secs(1),
@@ -200,7 +200,7 @@
         is_end_lost: true,
         outcomes: VersionOutcomes::default(),
     });
-    bed.hear_report(common::report(1, whole));
+    bed.receive_report(common::report(1, whole));
     let written = writes(&mut bed);
     assert_eq!(
         written.first().map(|it| it.state),
--- a/crates/jaypin_router/tests/store_eras_fleet.rs
+++ b/crates/jaypin_router/tests/store_eras_fleet.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use common::{Bed, ENGINES, configuration, record};
+use common::{ENGINES, TestHost, configuration, record};
 use jaypin_router::{
     BackendRecord, BackendStatus, BootTime, Effect, EntryChange, Event, Report, StorePoint,
 };
@@ -37,7 +37,7 @@
 }
 
 struct Fleet {
-    beds: Vec<Bed>,
+    beds: Vec<TestHost>,
     coming: Vec<(Instant, usize, Box<Report>)>,
     /// What the store has; what backend servers say of themselves, whether it is there or not.
     store: Store,
@@ -52,7 +52,7 @@
     fn new(seed: u64) -> Self {
         let now = Instant::now();
         let beds = (0..HOSTS).map(|n| {
-            let mut bed = Bed::unconfigured_as(u16::try_from(n).expect("few") + 1);
+            let mut bed = TestHost::unconfigured_as(u16::try_from(n).expect("few") + 1);
             bed.now = now;
             let all = (1..=HOSTS).map(|n| u16::try_from(n).expect("few"));
             let all = all.map(|n| {
--- a/crates/jaypin_router/tests/watching.rs
+++ b/crates/jaypin_router/tests/watching.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use common::{Bed, ENGINES, record};
+use common::{ENGINES, TestHost, record};
 use jaypin_router::{BackendRecord, BackendStatus, Effect, Event};
 
 /// A host that has just read its configuration, beside registered hosts that it has not heard.
-fn started(others: u16) -> Bed {
-    let mut bed = Bed::unconfigured();
-    let wholes = (2..2 + others).map(common::whole);
+fn started(others: u16) -> TestHost {
+    let mut bed = TestHost::unconfigured();
+    let wholes = (2..2 + others).map(common::whole_report);
     let hosts = wholes.map(|it| (it.host, it.address));
     bed.apply(Event::HostsListed(hosts.collect()));
     bed.configure(common::configuration(1));
@@ -19,7 +19,7 @@
     bed
 }
 
-fn watches(bed: &Bed) -> bool {
+fn watches(bed: &TestHost) -> bool {
     bed.router.should_watch(bed.now, bed.boot)
 }
 
@@ -48,7 +48,7 @@
 /// The configuration was read sooner than the list of hosts.
 #[test]
 fn a_host_that_does_not_know_the_fleet_waits() {
-    let mut bed = Bed::unconfigured();
+    let mut bed = TestHost::unconfigured();
     bed.configure(common::configuration(1));
     bed.prove();
     assert!(!watches(&bed));
@@ -73,10 +73,10 @@
 }
 
 /// A host of a number that has heard all others.
-fn heard_by(own: u16, hosts: u16) -> Bed {
-    let mut bed = Bed::unconfigured_as(own);
+fn heard_by(own: u16, hosts: u16) -> TestHost {
+    let mut bed = TestHost::unconfigured_as(own);
     for peer in (1..=hosts).filter(|it| *it != own) {
-        bed.hear_report(common::report(1, common::whole(peer)));
+        bed.receive_report(common::report(1, common::whole_report(peer)));
     }
     bed
 }
@@ -84,12 +84,12 @@
 /// Nothing is known yet, so there is nothing that could be left to others.
 #[test]
 fn a_host_without_a_configuration_reads_at_once() {
-    let bed = Bed::unconfigured();
+    let bed = TestHost::unconfigured();
     assert!(watches(&bed));
 }
 
 /// What a host says of itself in the reports that are due within a moment.
-fn says_it_may_watch(bed: &mut Bed) -> Option<bool> {
+fn says_it_may_watch(bed: &mut TestHost) -> Option<bool> {
     bed.wait(Duration::from_millis(10));
     let fx = bed.tick();
     let wholes = fx.into_iter().filter_map(|effect| match effect {
@@ -105,8 +105,8 @@
 #[test]
 fn a_watcher_that_is_turned_away_says_so_at_once() {
     let mut bed = started(0);
-    let peer = common::report(1, common::whole(2));
-    bed.hear_report(peer);
+    let peer = common::report(1, common::whole_report(2));
+    bed.receive_report(peer);
     bed.wait(Duration::from_millis(500));
     bed.prove();
     assert_eq!(says_it_may_watch(&mut bed), Some(true));
@@ -122,11 +122,11 @@
 #[test]
 fn a_silent_store_is_asked_by_others_within_a_second_and_a_half() {
     let mut bed = started(0);
-    let hear_watchers = |bed: &mut Bed, sequence| {
+    let hear_watchers = |bed: &mut TestHost, sequence| {
         for peer in 2..12 {
-            let mut whole = common::whole(peer);
+            let mut whole = common::whole_report(peer);
             whole.store.may_watch = true;
-            bed.hear_report(common::report(sequence, whole));
+            bed.receive_report(common::report(sequence, whole));
         }
     };
     hear_watchers(&mut bed, 1);
@@ -141,11 +141,11 @@
 }
 
 /// Ids of entries that the host tells within some seconds.
-fn told_entries(bed: &mut Bed) -> Vec<String> {
+fn told_entries(bed: &mut TestHost) -> Vec<String> {
     let mut told = Vec::new();
     for n in 0..40 {
         bed.wait(Duration::from_millis(100));
-        let mut fx = bed.hear_report(common::report(n + 1, common::whole(2)));
+        let mut fx = bed.receive_report(common::report(n + 1, common::whole_report(2)));
         fx.extend(bed.tick());
         for effect in fx {
             if let Effect::SendReport { report, .. } = effect {
@@ -190,7 +190,7 @@
     told_entries(&mut bed);
     for mut record in engines(450) {
         record.status = BackendStatus::Leaving;
-        bed.state(record);
+        bed.set_entry(record);
     }
     let mut told = BTreeSet::new();
     for _ in 0..50 {
