--- a/crates/jaypin_router/src/view.rs
+++ b/crates/jaypin_router/src/view.rs
@@ -3,7 +3,7 @@
 //! The pattern: hundreds of hosts before a hundred engines. None can hear what all others
 //! have running, and groups of hosts that share the engines out differ in room by a third,
 //! and have to agree on who has which. So each host has a view of its own: a dozen or two
-//! engines, drawn by hash from its name and theirs alone. BackendSubsets overlap, so what is too much
+//! engines, drawn by hash from its name and theirs alone. Subsets overlap, so what is too much
 //! for one host's engines spills over to those of others, and two hosts need no agreement:
 //! which engines another host uses follows from its name.
 
