--- a/crates/jaypin_router/tests/common/fleet.rs
+++ b/crates/jaypin_router/tests/common/fleet.rs
@@ -252,7 +252,7 @@
         for (_, coming) in due {
             match coming {
                 Coming::Report(report) => {
-                    self.apply(n, Event::ReportReceived { report, boot_time })
+                    self.apply(n, Event::ReportReceived { report, boot_time });
                 }
                 Coming::Header(number, backend, answer) => {
                     self.backends.told(n, &backend, &answer, now);
@@ -269,7 +269,7 @@
                     }
                 }
                 Coming::End(number, outcome) => {
-                    self.apply(n, Event::AttemptEnded { number, outcome })
+                    self.apply(n, Event::AttemptEnded { number, outcome });
                 }
             }
         }
--- a/crates/jaypin_router/tests/rollout_fleet/fleet.rs
+++ b/crates/jaypin_router/tests/rollout_fleet/fleet.rs
@@ -281,7 +281,7 @@
                 Coming::Order(order) if !is_cut => self.apply(n, Event::RolloutOrderRead(order)),
                 Coming::First(number) => self.apply(n, Event::ResponseStarted(number)),
                 Coming::End(number, outcome) => {
-                    self.apply(n, Event::AttemptEnded { number, outcome })
+                    self.apply(n, Event::AttemptEnded { number, outcome });
                 }
                 Coming::Report(_) | Coming::Order(_) => {}
             }
