--- a/crates/jaypin_router/src/account_asked.rs
+++ b/crates/jaypin_router/src/account_asked.rs
@@ -1,7 +1,7 @@
-//! What accounts ask of their quotas, by service and rank of the route.
+//! Arrival rates of accounts in quota units, by service and rank of the route.
 //!
-//! Ranks order requests of one service. A booking that takes a few units of a plain service
-//! is not put behind an engine's long prompts.
+//! Ranks order the requests of one service only: a booking that needs a few units of a plain
+//! service does not wait behind an engine's long prompts.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -10,28 +10,28 @@
 
 use crate::{Account, DecayedRate, ServiceKey};
 
-/// Time after which a request counts for 1/e.
+/// Time after which the weight of a request falls to 1/e.
 ///
-/// One of fifteen hosts sees an account's request about once a second; four or five of them
-/// tell within a half how much of its use is urgent.
+/// One of fifteen hosts receives an account's request about once a second; four or five requests
+/// show to within a half how much of the account's use is urgent.
 const MEMORY: Duration = Duration::from_secs(4);
 /// Time for which an account's urgent requests are provided for, in units of its quota.
 ///
-/// A quota that is nearly used up refills at its rate. Whoever takes units as they come
-/// leaves an urgent request, which needs those of several small ones, with too few.
+/// A quota that is nearly used up refills at its rate. If requests take units as soon as they are
+/// refilled, too few are left for an urgent request, which needs the units of several small ones.
 const COVERED: Duration = Duration::from_secs(1);
 
 /// A service, and the rank of a route to it.
 pub type RouteRank = (ServiceKey, u8);
 
-/// Units that this host's callers ask for, by account, service and rank of the route.
+/// Units that this host's callers request, by account, service and rank of the route.
 #[derive(Debug, Default)]
 pub struct AccountArrivals {
     rates: HashMap<AccountId, BTreeMap<RouteRank, DecayedRate>>,
 }
 
 impl AccountArrivals {
-    /// Counts a request, whether it is served or refused.
+    /// Records a request, whether it is served or refused.
     pub fn record(&mut self, account: &AccountId, route: RouteRank, units: f64, now: Instant) {
         let of_account = self.rates.entry(account.clone()).or_default();
         let rate = of_account
@@ -40,14 +40,14 @@
         rate.count(units, now);
     }
 
-    /// Forgets accounts that are gone.
+    /// Removes accounts that no longer exist.
     pub fn configure(&mut self, accounts: &[Account]) {
         self.rates
             .retain(|name, _| accounts.iter().any(|it| it.name == *name));
     }
 
-    /// Units to be left for the account's more urgent routes to the service, where as much is asked of each
-    /// of so many hosts as of this one.
+    /// Returns the units to reserve for the account's more urgent routes to the service, where
+    /// each of `hosts` hosts receives as many requests as this one.
     #[must_use]
     pub fn units_to_reserve(
         &self,
--- a/crates/jaypin_router/src/asked.rs
+++ b/crates/jaypin_router/src/asked.rs
@@ -1,4 +1,4 @@
-//! What is asked of each service, by rank, over the fleet.
+//! Arrivals of requests over the fleet, by service and rank.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::RangeBounds;
@@ -6,24 +6,24 @@
 
 use crate::{DecayedRate, Rank, ServiceKey};
 
-/// Time after which a request counts for 1/e in the rates.
+/// Time after which the weight of a request in the rates falls to 1/e.
 ///
-/// Bursts begin within a second and last for two to five; a host hears its peers' totals
-/// every 0.4 s.
+/// Bursts begin within a second and last for two to five; a host receives its peers' totals every
+/// 0.4 s.
 const MEMORY: Duration = Duration::from_millis(1_500);
 
-/// Requests of one rank that callers asked of a service.
+/// Number of requests of one rank that callers sent to a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ArrivalCount {
     /// The service.
     pub service: ServiceKey,
     /// The rank.
     pub rank: Rank,
-    /// How many, as a total of the host's run or as a difference between two of them.
+    /// Number of requests, as a total of the host's run or as a difference between two totals.
     pub requests: u32,
 }
 
-/// How many requests a second the fleet is asked for.
+/// Arrival rates of the fleet, in requests per second.
 #[derive(Debug, Default)]
 pub struct ArrivalRates {
     own: BTreeMap<(ServiceKey, Rank), u32>,
@@ -31,18 +31,18 @@
 }
 
 impl ArrivalRates {
-    /// Counts a request of this host, whether it is served or refused.
+    /// Records a request of this host, whether it is served or refused.
     pub fn record(&mut self, service: ServiceKey, rank: Rank, now: Instant) {
         *self.own.entry((service, rank)).or_default() += 1;
         self.count(service, rank, 1, now);
     }
 
-    /// Counts what a peer was asked for since its report before.
+    /// Records the requests that arrived at a peer since its previous report.
     pub fn record_peer(&mut self, asked: &ArrivalCount, now: Instant) {
         self.count(asked.service, asked.rank, asked.requests, now);
     }
 
-    /// What this host was asked for in its run.
+    /// Iterates over the requests that arrived at this host, as totals of its run.
     pub fn totals(&self) -> impl Iterator<Item = ArrivalCount> {
         self.own
             .iter()
@@ -53,13 +53,15 @@
             })
     }
 
-    /// Requests a second of ranks that are more urgent than one.
+    /// Returns the arrival rate of ranks that are more urgent than `rank`, in requests per
+    /// second.
     #[must_use]
     pub fn rate_above(&self, service: ServiceKey, rank: Rank, now: Instant) -> f64 {
         self.sum(service, ..rank, now)
     }
 
-    /// Requests a second of ranks that are at least as urgent as one.
+    /// Returns the arrival rate of ranks that are at least as urgent as `rank`, in requests per
+    /// second.
     #[must_use]
     pub fn rate_at_or_above(&self, service: ServiceKey, rank: Rank, now: Instant) -> f64 {
         self.sum(service, ..=rank, now)
--- a/crates/jaypin_router/src/backend.rs
+++ b/crates/jaypin_router/src/backend.rs
@@ -1,4 +1,4 @@
-//! One backend server: what it states, what runs there, what was learned of it.
+//! One backend server: its record, the calls that run there, and what was learned from them.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,88 +11,91 @@
     SoftwareVersion,
 };
 
-/// Rest after the first call that could not reach it; doubled with each further one.
+/// Cooldown after the first call that could not reach the backend server; it doubles with each
+/// further one.
 const FIRST_REST: Duration = Duration::from_millis(400);
-/// Longest rest: backend servers that crashed are back after some seconds.
+/// Longest cooldown: crashed backend servers are back after some seconds.
 const LONGEST_REST: Duration = Duration::from_secs(3);
-/// Part of failed calls above which it rests. Services fail a seventh of some calls by
-/// themselves; one that is broken fails nearly half or more.
+/// Failure rate of calls above which a backend server is put on cooldown. Working services fail a
+/// seventh of some calls on their own; a broken one fails nearly half of them or more.
 const TOO_MANY_FAILURES: f64 = 0.38;
-/// Weight of one call in that part: about the last ten calls count.
+/// Weight of one call in that moving average: about the last ten calls count.
 const FAILURE_WEIGHT: f64 = 0.1;
-/// Rest of one that fails too many.
+/// Cooldown of a backend server whose failure rate is too high.
 const FAILURE_REST: Duration = Duration::from_millis(1_500);
-/// Part of failures that it has after such a rest: one or two further ones end the trial.
+/// Failure rate assumed after such a cooldown: one or two further failures start the next one.
 const PART_AFTER_REST: f64 = 0.3;
-/// Weight of one request in the mean time that requests hold their slots.
+/// Weight of one request in the moving average of the slot hold time.
 const RESIDENCE_WEIGHT: f64 = 0.05;
-/// Factor on the estimate, and time besides, after which a first event is overdue.
+/// Factor on the estimated time to the first event, and time added to it, after which the first
+/// event is overdue.
 const OVERDUE: (f64, Duration) = (3.0, Duration::from_millis(400));
 
-/// Whether a backend server takes new requests.
+/// Whether a backend server accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendStatus {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has.
+    /// It only finishes the requests that it has.
     Leaving,
 }
 
-/// A backend server, as it states itself.
+/// What a backend server states about itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BackendRecord {
-    /// Its id; a new process mostly has a new one.
+    /// Its id. A new process usually has a new one.
     pub id: BackendId,
-    /// Its process's start, in milliseconds since the Unix epoch by its own clock; tells
-    /// two runs with one id apart.
+    /// Start of its process, in milliseconds since the Unix epoch by its own clock. It
+    /// distinguishes two runs with the same id.
     pub started: u64,
-    /// The service it belongs to.
+    /// The service to which it belongs.
     pub service: ServiceId,
-    /// Its address.
+    /// Its network address.
     pub address: String,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Requests it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub status: BackendStatus,
     /// Version of its software.
     pub version: SoftwareVersion,
 }
 
-/// A backend server with all that this host knows of it.
+/// A backend server with everything that this host knows about it.
 #[derive(Debug)]
 pub struct Backend {
-    /// What it states.
+    /// What it states about itself.
     pub record: BackendRecord,
     /// Its key in reports.
     pub key: BackendKey,
     /// How fast it reads prompts.
     pub prefill_rate: PrefillRate,
-    /// How fast it makes events.
+    /// How fast it produces the events of a stream.
     pub event_rate: EventRate,
-    /// What peers have running there.
+    /// Load that the peers have there.
     peers: PeersThere,
     calls: BTreeMap<RequestNumber, Call>,
-    /// What this host learned in its run, for its peers.
+    /// Totals of what this host has learned in its run, which it reports to its peers.
     totals: BackendSamples,
-    /// Mean time that requests hold their slots, once one has ended.
+    /// Mean time for which requests hold their slots; absent until one has ended.
     residence: Option<Duration>,
     failures: f64,
     rest_until: Option<Instant>,
     rests: u32,
-    /// Until when it wants nothing from this host, by its own answer.
+    /// Time until which it wants no requests from this host, by its own answer.
     backoff_until: Option<Instant>,
-    /// Whether an answer said that its process leaves.
+    /// Whether an answer said that its process is leaving.
     has_said_it_leaves: bool,
-    /// How this host spaces its requests, where the backend server states a limit.
+    /// Spacing of this host's requests, where the backend server states a rate limit.
     throttle: Option<Throttle>,
 }
 
-/// What peers have running there, and how much of their prompts is still to be read.
+/// Load that the peers have on a backend server, with an estimate of how much of their prompts is
+/// still unread.
 ///
-/// They tell that a request began and that it ended, not when its prompt was read: that
-/// follows from the pace. Without this, a prompt would count as unread until its answer
+/// Peers report that a request began and that it ended, but not when its prompt was read. That
+/// follows from the prefill rate; without it, a prompt would count as unread until its answer
 /// ends.
 #[derive(Debug, Default)]
 struct PeersThere {
@@ -116,7 +119,7 @@
     }
 }
 
-/// A number of tokens without its fraction; below none there is none.
+/// Returns a number of tokens without its fraction; a negative number becomes 0.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -134,7 +137,7 @@
 }
 
 impl Backend {
-    /// Starts with nothing learned.
+    /// Creates a backend server about which nothing has been learned.
     #[must_use]
     pub fn new(record: BackendRecord) -> Self {
         let key = crate::backend_key(&record.id);
@@ -156,27 +159,26 @@
         }
     }
 
-    // ------------------------------------------------------------------ questions
-
-    /// Requests that run there, of this host and of its peers.
+    /// Returns the number of requests that run there, from this host and its peers.
     #[must_use]
     pub fn running(&self) -> u32 {
         u32::try_from(self.calls.len()).unwrap_or(u32::MAX) + self.peers.running
     }
 
-    /// Prompt tokens that it has to read before a new request's.
+    /// Returns the number of prompt tokens that it has to read before those of a new request.
     #[must_use]
     pub fn unread_tokens(&self, now: Instant) -> u32 {
         let own = self.own_load().unread_tokens;
         own.saturating_add(self.peers.unread_tokens(self.prefill_rate, now))
     }
 
-    /// Takes what peers have running there now, and the prompt tokens of what they began.
+    /// Sets the load that the peers have there now; `begun_tokens` is the number of prompt tokens
+    /// of the requests that they have begun.
     pub fn set_peer_load(&mut self, load: BackendLoad, begun_tokens: u32, now: Instant) {
         self.peers.take(load, begun_tokens, self.prefill_rate, now);
     }
 
-    /// What this host has running there.
+    /// Returns the load that this host has there.
     #[must_use]
     pub fn own_load(&self) -> BackendLoad {
         let unread = self.calls.values().filter(|it| it.overdue_at.is_some());
@@ -187,40 +189,40 @@
         }
     }
 
-    /// What this host has learned of it.
+    /// Returns the totals of what this host has learned about it.
     #[must_use]
     pub fn samples(&self) -> BackendSamples {
         self.totals
     }
 
-    /// Whether new requests may go there.
+    /// Returns whether new requests may be sent there.
     #[must_use]
     pub fn accepts_requests(&self, now: Instant) -> bool {
         let has_turn = self.throttle.as_ref().is_none_or(|it| it.allows(now));
         self.is_ready() && has_turn && !self.is_backing_off(now)
     }
 
-    /// Whether it asked this host to back off, and the time for that is not over.
+    /// Returns whether it asked this host to back off and the time for that has not passed.
     #[must_use]
     pub fn is_backing_off(&self, now: Instant) -> bool {
         self.backoff_left(now) > Duration::ZERO
     }
 
-    /// What is left of the backoff that it requested of this host.
+    /// Returns what is left of the backoff that it requested from this host.
     #[must_use]
     pub fn backoff_left(&self, now: Instant) -> Duration {
         let until = self.backoff_until;
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Whether it takes new requests by its entry and by its own answers.
+    /// Returns whether it accepts new requests, by its record and by its own answers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.record.status == BackendStatus::Ready && !self.has_said_it_leaves
     }
 
-    /// Whether it was found unreachable or failing a moment ago, or a call there got no
-    /// answer for far longer than it should: a process that hangs accepts calls and says
+    /// Returns whether it was unreachable or failing a moment ago, or a call there has had no
+    /// answer for far longer than it should: a process that hangs accepts calls and sends
     /// nothing.
     #[must_use]
     pub fn is_unhealthy(&self, now: Instant) -> bool {
@@ -228,15 +230,13 @@
         self.rest_until.is_some_and(|until| now < until) || self.calls.values().any(is_overdue)
     }
 
-    /// Mean time that requests hold their slots there.
+    /// Returns the mean time for which requests hold their slots there.
     #[must_use]
     pub fn hold_time(&self) -> Option<Duration> {
         self.residence
     }
 
-    // ------------------------------------------------------------------ calls
-
-    /// Counts a call that is sent, with the time that its first event should take.
+    /// Records a call that is sent, with the estimated time to its first event.
     pub fn record_sent(
         &mut self,
         number: RequestNumber,
@@ -256,28 +256,28 @@
         }
     }
 
-    /// Notes the first event of a call.
+    /// Records the first event of a call.
     pub fn record_first_event(&mut self, number: RequestNumber) {
         if let Some(call) = self.calls.get_mut(&number) {
             call.overdue_at = None;
         }
     }
 
-    /// Learns how long the prefill of so many tokens took.
+    /// Records that the prefill of `tokens` took `seconds`.
     pub fn record_prefill(&mut self, tokens: f64, seconds: f64) {
         self.prefill_rate.record(tokens, seconds);
         self.totals.tokens += tokens;
         self.totals.seconds += seconds;
     }
 
-    /// Learns how long so many events of a stream took.
+    /// Records that `events` events of a stream took `seconds`.
     pub fn record_events(&mut self, events: f64, seconds: f64) {
         self.event_rate.record(events, seconds);
         self.totals.events += events;
         self.totals.event_seconds += seconds;
     }
 
-    /// Counts the end of a call.
+    /// Records the end of a call.
     pub fn record_end(&mut self, number: RequestNumber, outcome: AttemptOutcome, now: Instant) {
         let call = self.calls.remove(&number);
         match outcome {
@@ -305,7 +305,7 @@
         }
     }
 
-    /// Takes what a peer learned.
+    /// Records what a peer learned.
     pub fn record_peer_samples(&mut self, samples: &BackendSamples, now: Instant) {
         if samples.tokens > 0.0 {
             self.prefill_rate.record(samples.tokens, samples.seconds);
@@ -326,28 +326,29 @@
         }
     }
 
-    /// Takes no requests from now on, whatever its entry states.
+    /// Marks it as leaving: from now on it gets no requests, whatever its record states.
     pub fn mark_leaving(&mut self) {
         self.has_said_it_leaves = true;
     }
 
-    /// Takes no requests of this host until a time.
+    /// Sets the time until which this host sends it no requests.
     pub fn back_off_until(&mut self, until: Option<Instant>) {
         self.backoff_until = until;
     }
 
-    /// Spaces this host's requests; without a pause it sends none.
+    /// Spaces this host's requests by `pause`; without a pause, this host sends none.
     pub fn throttle(&mut self, pause: Option<Duration>, now: Instant) {
         let throttle = self.throttle.get_or_insert_with(|| Throttle::new(now));
         throttle.set_pause(pause, now);
     }
 
-    /// Lets requests go there as they come.
+    /// Removes the spacing of this host's requests.
     pub fn stop_throttling(&mut self) {
         self.throttle = None;
     }
 
-    /// Takes a newer statement of itself; a new run has nothing of the one before.
+    /// Replaces the record by a newer one. A new run inherits nothing that was learned about the
+    /// one before.
     pub fn update_record(&mut self, record: BackendRecord) {
         if record.started == self.record.started && record.address == self.record.address {
             self.record = record;
@@ -356,7 +357,8 @@
         }
     }
 
-    /// A process that is gone refuses at once and would draw all requests by being empty.
+    /// Starts a cooldown. A process that has exited refuses connections at once and, having no
+    /// load, would attract all requests.
     fn rest(&mut self, now: Instant) {
         let rest = FIRST_REST * 2_u32.pow(self.rests.min(8));
         self.rests += 1;
--- a/crates/jaypin_router/src/backend_table.rs
+++ b/crates/jaypin_router/src/backend_table.rs
@@ -1,4 +1,4 @@
-//! All backend servers that are known, by id and by their short key.
+//! All known backend servers, by id and by their short key.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,7 +6,7 @@
 
 use crate::{Backend, BackendKey, BackendRecord};
 
-/// Backend servers by id, found by the key of reports as well.
+/// Backend servers by id, with an index by their key in reports.
 #[derive(Debug, Default)]
 pub struct BackendTable {
     by_id: BTreeMap<BackendId, Backend>,
@@ -14,58 +14,58 @@
 }
 
 impl BackendTable {
-    /// One of them.
+    /// Returns a backend server by its id.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Backend> {
         self.by_id.get(id)
     }
 
-    /// One of them, to be changed.
+    /// Returns a backend server by its id, to be changed.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Backend> {
         self.by_id.get_mut(id)
     }
 
-    /// The one that reports name by a key.
+    /// Returns a backend server by its key in reports.
     #[must_use]
     pub fn by_key(&self, key: BackendKey) -> Option<&Backend> {
         self.by_id.get(self.by_key.get(&key)?)
     }
 
-    /// The one that reports name by a key, to be changed.
+    /// Returns a backend server by its key in reports, to be changed.
     pub fn by_key_mut(&mut self, key: BackendKey) -> Option<&mut Backend> {
         self.by_id.get_mut(self.by_key.get(&key)?)
     }
 
-    /// Adds one.
+    /// Adds a backend server, in place of one with the same id.
     pub fn insert(&mut self, backend: Backend) {
         let id = backend.record.id.clone();
         self.by_key.insert(backend.key, id.clone());
         self.by_id.insert(id, backend);
     }
 
-    /// Takes one out.
+    /// Removes and returns a backend server.
     pub fn remove(&mut self, id: &str) -> Option<Backend> {
         let backend = self.by_id.remove(id)?;
         self.by_key.remove(&backend.key);
         Some(backend)
     }
 
-    /// Ids of all.
+    /// Iterates over the ids of all backend servers.
     pub fn ids(&self) -> impl Iterator<Item = &BackendId> {
         self.by_id.keys()
     }
 
-    /// All, in the order of their ids.
+    /// Iterates over all backend servers in the order of their ids.
     pub fn values(&self) -> impl Iterator<Item = &Backend> + Clone {
         self.by_id.values()
     }
 
-    /// All, to be changed.
+    /// Iterates over all backend servers in the order of their ids, to change them.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Backend> {
         self.by_id.values_mut()
     }
 
-    /// Ids of those that take requests and that are chosen, by service.
+    /// Returns the ids, by service, of the ready backend servers that `is_chosen` selects.
     #[must_use]
     pub fn ready_by_service(
         &self,
--- a/crates/jaypin_router/src/cell.rs
+++ b/crates/jaypin_router/src/cell.rs
@@ -1,17 +1,17 @@
-//! Cells: groups of hosts that tell each other who is there and what they know.
+//! Cells: groups of hosts that report to each other that they are live and what they know.
 //!
-//! A host of a large fleet can't tell all others that it is there, what it knows of the store
-//! and what accounts use. Its cell has a few dozen hosts, whatever the size of the fleet. Who
-//! hears of the load of which backend server is another matter: see [`crate::BackendSubsets`].
+//! A host of a large fleet can't report to all others that it is live, what it knows of the store
+//! and what accounts use. Its cell has a few dozen hosts, whatever the size of the fleet. Which
+//! hosts receive the load of which backend server is independent of cells: see [`crate::BackendSubsets`].
 
 /// Number of a cell.
 pub type CellIndex = u32;
 
-/// Hosts in a cell at the most, on the average: what each tells goes to all of them.
+/// Greatest number of hosts in a cell, on average: the reports of each go to all of them.
 const MOST_HOSTS: usize = crate::view::SMALL_FLEET;
 
-/// Cells of a fleet: a power of two, so that hosts which count the fleet differently for a
-/// moment mostly agree.
+/// Returns the number of cells of a fleet. It is a power of two, so that hosts which count the
+/// fleet differently for a moment mostly agree.
 #[must_use]
 pub fn cell_count(hosts: usize) -> u32 {
     let mut count = 1;
@@ -21,7 +21,7 @@
     count
 }
 
-/// The cell of a host.
+/// Returns the cell of a host.
 #[must_use]
 pub fn cell_of(host: &str, count: u32) -> CellIndex {
     let hash = xxhash_rust::xxh3::xxh3_64(host.as_bytes());
--- a/crates/jaypin_router/src/come_back.rs
+++ b/crates/jaypin_router/src/come_back.rs
@@ -1,4 +1,4 @@
-//! When a caller whose request was refused should come back.
+//! Times after which callers should retry refused requests.
 
 use std::time::Duration;
 
@@ -6,20 +6,19 @@
 
 use crate::Route;
 
-/// Mean time to come back after a refusal for want of capacity, as a part of the aim: the
-/// caller's second try can still be in time.
+/// Mean time to retry after a refusal for lack of capacity, as a fraction of the latency target:
+/// the caller's second attempt can still be in time.
 const RETURN_PART: f64 = 0.4;
-/// Spread of that time, as factors, so that refused callers don't return together.
+/// Spread of that time, as factors, so that refused callers don't all retry together.
 const RETURN_SPREAD: std::ops::Range<f64> = 0.6..1.4;
-/// Time to come back to a host that has no proved configuration.
+/// Time to retry at a host that has no configuration that is known to be the newest.
 pub const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Time to come back after a refusal by a host that leaves: another host can be asked at
-/// once.
+/// Time to retry after a refusal by a host that is leaving: another host can be called at once.
 pub const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Longest stated time to come back with a content that kills backend servers.
+/// Longest time to retry that is stated for content that crashes backend servers.
 pub const MAX_QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Time to come back after a refusal for want of capacity.
+/// Returns the time to retry after a refusal for lack of capacity.
 pub fn capacity_retry_after(route: &Route, rng: &mut impl Rng) -> Duration {
     let spread = rng.random_range(RETURN_SPREAD);
     route.latency_target.mul_f64(RETURN_PART * spread)
--- a/crates/jaypin_router/src/configuration.rs
+++ b/crates/jaypin_router/src/configuration.rs
@@ -1,21 +1,21 @@
-//! What operators configure, in the product's own words.
+//! What operators configure, independent of the format in which it is stored.
 
 use std::time::Duration;
 
 use jaypin_core::{AccountId, ServiceId};
 
-/// One version of everything that operators configure.
+/// One version of the whole configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
-    /// Grows with each change; an older one never replaces a newer one.
+    /// Grows with each change; an older version never replaces a newer one.
     pub version: u64,
-    /// Where requests go.
+    /// Routes of requests to services.
     pub routes: Vec<Route>,
-    /// What routes point at.
+    /// Services that routes point at.
     pub services: Vec<Service>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
-    /// Who may call; without any, callers need no credential.
+    /// Accounts that may call; if there are none, callers need no credential.
     pub accounts: Vec<Account>,
 }
 
@@ -24,36 +24,36 @@
 pub enum Repeat {
     /// It may be run again.
     Idempotent,
-    /// It may run once.
+    /// It may run only once.
     Never,
-    /// Its answer is a stream that another backend server may go on with.
+    /// Its answer is a stream that another backend server can continue.
     ResumableStream,
     /// Its answer is a stream that only its first backend server can give.
     Stream,
 }
 
 impl Repeat {
-    /// Whether a second backend server may run it.
+    /// Returns whether a second backend server may run it.
     #[must_use]
     pub fn may_run_again(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether its answer is a stream of events.
+    /// Returns whether its answer is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::ResumableStream | Self::Stream)
     }
 }
 
-/// Requests of one host name below one path.
+/// A route: the requests for one host name below one path.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     /// Name in logs.
     pub name: String,
-    /// Host name that callers ask for.
+    /// Host name that callers request.
     pub host: String,
-    /// Beginning of the path, with a slash at both ends.
+    /// Prefix of the path, with a slash at both ends.
     pub prefix: String,
     /// Services, each with its weight.
     pub targets: Vec<Target>,
@@ -61,12 +61,12 @@
     pub repeat: Repeat,
     /// Longest time for the whole answer.
     pub timeout: Duration,
-    /// Time within which an answer, or its first event, is worth most; the whole timeout
-    /// where it is nothing.
+    /// Time within which an answer, or its first event, is worth most; zero stands for the whole
+    /// timeout.
     pub latency_target: Duration,
     /// Longest pause between two events of a stream.
     pub longest_pause: Option<Duration>,
-    /// Most backend servers that one request may be sent to.
+    /// Greatest number of backend servers that one request may be sent to.
     pub attempts: u32,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
@@ -79,7 +79,7 @@
 pub struct Target {
     /// The service.
     pub service: ServiceId,
-    /// Its part, relative to the other targets.
+    /// Its share of the requests, relative to the weights of the other targets.
     pub weight: u32,
 }
 
@@ -88,53 +88,53 @@
 pub struct Service {
     /// Its name.
     pub name: ServiceId,
-    /// Connections that one of its backend servers takes from all hosts together.
+    /// Connections that one of its backend servers accepts from all hosts together.
     pub max_connections: u32,
-    /// What its engines state; plain services have none.
+    /// What its engines state; absent for plain services.
     pub engine: Option<Engine>,
 }
 
-/// What the engines of a service state of themselves.
+/// What the engines of a service state about themselves.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests in one batch.
+    /// Number of requests in one batch.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Number of tokens that its memory holds.
     pub memory_tokens: u64,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub tokens_per_event: u32,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on what callers may send and on how long they may take.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallerLimits {
     /// Largest header, in bytes.
     pub header_bytes: usize,
     /// Largest body, in bytes.
     pub body_bytes: usize,
-    /// Time for a caller to send its header.
+    /// Time within which a caller has to send its header.
     pub header_time: Duration,
-    /// Time that a connection may be idle.
+    /// Time for which a connection may be idle.
     pub idle_time: Duration,
 }
 
 /// A client account.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Account {
-    /// Its name, as backend servers are told it.
+    /// Its name, as it is sent to backend servers.
     pub name: AccountId,
     /// Credentials of its callers.
     pub credentials: Vec<String>,
-    /// Rank of its requests, in place of their route's.
+    /// Rank of its requests, in place of that of their route.
     pub priority: Option<u8>,
-    /// What it may use; without one it is not limited.
+    /// What it may use; absent if it is not limited.
     pub quota: Option<Quota>,
 }
 
 /// What an account may use over the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
     /// Units that may be used at once.
     pub burst: f64,
@@ -147,9 +147,9 @@
 pub enum QuotaUnit {
     /// Requests.
     Requests,
-    /// Tokens of prompt and answer as the caller declares them.
+    /// Tokens of prompt and answer, as the caller declares them.
     Tokens {
-        /// What a request without declared tokens counts as.
+        /// Number of tokens counted for a request that declares none.
         undeclared: f64,
     },
 }
--- a/crates/jaypin_router/src/entries.rs
+++ b/crates/jaypin_router/src/entries.rs
@@ -1,4 +1,4 @@
-//! The entries of backend servers as the store has them, and what changed lately.
+//! Entries of backend servers as the store has them, and their recent changes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,29 +7,31 @@
 
 use crate::{BackendRecord, BackendStatus, StorePoint};
 
-/// Reports that tell a change: two of three may be lost.
+/// Number of reports that contain a change: two of three may be lost.
 const TIMES_TOLD: u32 = 3;
-/// Changes in one report, so that it fits a datagram; more are told by the next ones.
+/// Greatest number of changes in one report, so that it fits into a datagram; the next reports
+/// contain the others.
 const MOST_TOLD: usize = 24;
 
-/// Entries whose points are remembered; of those that are gone the oldest are forgotten.
+/// Number of entries whose points are kept; beyond it, the oldest of the removed ones are
+/// dropped.
 const MOST_POINTS: usize = 4_096;
 
-/// A change of an entry, as hosts that watch the store tell it to the others.
+/// A change of an entry, as hosts that watch the store send it to the others.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EntryChange {
-    /// It states this.
+    /// The entry has this record.
     Stated {
-        /// The statement.
+        /// The record.
         record: BackendRecord,
-        /// When that was so, in the store's history.
+        /// Point in the store's history at which it had this record.
         point: StorePoint,
     },
-    /// It is gone.
+    /// The entry was removed.
     Removed {
-        /// The backend server.
+        /// Id of the backend server.
         id: BackendId,
-        /// A point in the store's history at which it was gone.
+        /// A point in the store's history at which it did not exist.
         point: StorePoint,
     },
 }
@@ -53,48 +55,49 @@
 #[derive(Debug, Default)]
 pub struct Entries {
     hashes: BTreeMap<BackendId, u64>,
-    /// Newest point heard of each entry, also of those that are gone.
+    /// Newest known point of each entry, including removed ones.
     points: BTreeMap<BackendId, StorePoint>,
     digest: u64,
     news: VecDeque<(EntryChange, u32)>,
 }
 
 impl Entries {
-    /// A number that is the same on hosts which know the same.
+    /// Returns a number that is equal on hosts that know the same entries.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Ids of all entries.
+    /// Iterates over the ids of all entries.
     pub fn ids(&self) -> impl Iterator<Item = &BackendId> {
         self.hashes.keys()
     }
 
-    /// Whether something newer than a point was heard of an entry.
+    /// Returns whether something newer than `point` is known of an entry.
     #[must_use]
     pub fn has_newer(&self, id: &str, point: StorePoint) -> bool {
         self.points.get(id).is_some_and(|newest| *newest > point)
     }
 
-    /// All entries, with their points.
+    /// Iterates over all entries, with their points.
     pub fn stated(&self) -> impl Iterator<Item = (&BackendId, StorePoint)> {
         let points = self.points.iter();
         let stated = points.filter(|(id, _)| self.hashes.contains_key(*id));
         stated.map(|(id, point)| (id, *point))
     }
 
-    /// Those that are gone, with a point at which they were.
+    /// Iterates over the removed entries, each with a point at which it did not exist.
     pub fn removed(&self) -> impl Iterator<Item = (&BackendId, StorePoint)> {
         let points = self.points.iter();
         let gone = points.filter(|(id, _)| !self.hashes.contains_key(*id));
         gone.map(|(id, point)| (id, *point))
     }
 
-    /// Takes a change; says whether it is one.
+    /// Applies a change; returns whether it changed anything.
     ///
-    /// Guards against an older state that is told after a newer one, by another watcher or
-    /// a late datagram: a backend server that leaves would be taken for ready again.
+    /// A state that is older than the known one is ignored. Another watcher or a late datagram
+    /// may deliver it after a newer one, and a backend server that is leaving would count as
+    /// ready again.
     pub fn apply(&mut self, change: &EntryChange) -> bool {
         let id = change.id();
         let newest = self.points.get(id).copied();
@@ -130,13 +133,13 @@
         }
     }
 
-    /// Keeps a change to be told.
+    /// Queues a change for the next reports, in place of an earlier one of the same entry.
     pub fn queue(&mut self, change: EntryChange) {
         self.news.retain(|(known, _)| known.id() != change.id());
         self.news.push_front((change, 0));
     }
 
-    /// Takes what the next report tells: each change once before any is told again.
+    /// Returns the changes for the next report: each is sent once before any is sent again.
     pub fn next_changes(&mut self) -> Vec<EntryChange> {
         let count = self.news.len().min(MOST_TOLD);
         let told: Vec<_> = self.news.drain(..count).collect();
@@ -147,7 +150,7 @@
         news
     }
 
-    /// Whether a change waits to be told for the first time.
+    /// Returns whether a change has not been sent yet.
     #[must_use]
     pub fn has_unsent(&self) -> bool {
         self.news.front().is_some_and(|(_, times)| *times == 0)
--- a/crates/jaypin_router/src/event_pace.rs
+++ b/crates/jaypin_router/src/event_pace.rs
@@ -1,21 +1,22 @@
-//! How fast a backend server makes the events of a stream, learned from running streams.
+//! Rate at which a backend server produces the events of a stream, learned from running streams.
 //!
-//! The pattern: answers differ a hundredfold in length and engines fivefold in speed. The
-//! longest answers end in time on fast engines only; on a slow one they hold a slot until
-//! their caller gives up, and nobody has anything of it.
+//! Answers differ a hundredfold in length and engines fivefold in speed. The longest answers end
+//! in time on fast engines only; on a slow one they hold a slot until their caller gives up, and
+//! the work is wasted.
 
-/// Events after which an observation counts for 1/e: two or three usual answers.
+/// Number of events after which the weight of an observation falls to 1/e: two or three typical
+/// answers.
 const MEMORY_EVENTS: f64 = 80.0;
-/// Factor from which events are so much slower than known that the engine has changed: what
-/// was seen before then counts no more than they do.
+/// Factor on the expected time from which on the engine counts as slowed down: earlier
+/// observations then weigh no more than the new ones.
 ///
-/// Guards against engines that turn slow for some seconds. Judged by the mean of the last
-/// hundred events, they would get long answers for as long.
+/// Engines may turn slow for some seconds. Judged by the mean of the last hundred events, they
+/// would get long answers for as long.
 const SLOWED: f64 = 2.0;
-/// Events from which on a pace says something.
+/// Number of events from which on the rate is meaningful.
 const LEAST_EVENTS: f64 = 4.0;
 
-/// Decayed sums of events and of the time that they took.
+/// Decayed sums of events and of the seconds that they took.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct EventRate {
     events: f64,
@@ -23,7 +24,7 @@
 }
 
 impl EventRate {
-    /// Learns that so many events came in so long.
+    /// Records that `events` events took `seconds`.
     pub fn record(&mut self, events: f64, seconds: f64) {
         let expected = self.seconds_for(events);
         let has_slowed = expected.is_some_and(|it| seconds >= it * SLOWED);
@@ -36,7 +37,7 @@
         self.seconds = self.seconds * keep + seconds;
     }
 
-    /// Seconds that so many events take, once enough were seen.
+    /// Returns the seconds that `events` events take, once enough were observed.
     #[must_use]
     pub fn seconds_for(&self, events: f64) -> Option<f64> {
         let is_known = self.events >= LEAST_EVENTS;
--- a/crates/jaypin_router/src/fleet.rs
+++ b/crates/jaypin_router/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What the other hosts have told.
+//! The other hosts, as their reports show them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -10,30 +10,30 @@
     ArrivalCount, BootTime, CellIndex, PeerClock, Rank, Report, ServiceKey, Strike, WholeReport,
 };
 
-/// Time without a report after which a host takes no part.
+/// Time without a report after which a host no longer counts as live.
 ///
-/// Five heartbeats of 250 ms, less one: hosts on a sixth of a core may stand still for
-/// most of a tenth of a second, and a datagram in a hundred is lost.
+/// It is five heartbeats of 250 ms, less one, and a margin: hosts on a sixth of a core may stall
+/// for most of a tenth of a second, and one datagram in a hundred is lost.
 pub const PEER_SILENCE: Duration = Duration::from_millis(1_100);
-/// Time after which a silent host is taken for gone and not for cut off.
+/// Time after which a silent host counts as removed and not as cut off.
 ///
-/// Longer than cuts that heal by themselves. Until then its part of the
-/// quotas is left to it.
+/// It is longer than network partitions that heal by themselves. Until then, the silent host's
+/// part of the quotas is left to it.
 pub const PEER_EXPIRY: Duration = Duration::from_secs(12);
 
-/// Time without a word after which another cell takes no part.
+/// Time without a report after which another cell no longer counts as live.
 ///
-/// Each host hears from each other cell twice a second on the average, at random.
+/// Each host receives a report from each other cell twice a second on average, at random times.
 const CELL_SILENCE: Duration = Duration::from_secs(4);
 
 /// A peer, as its last reports show it.
 #[derive(Debug)]
 pub struct Peer {
-    /// Number of its process's run.
+    /// Incarnation of its process.
     pub run: Incarnation,
-    /// Where it takes reports.
+    /// Address at which it receives reports.
     pub address: SocketAddr,
-    /// Where callers connect.
+    /// Address at which callers connect to it.
     pub callers: SocketAddr,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
@@ -41,11 +41,11 @@
     pub is_ready: bool,
     /// Whether it may be relied on to watch the store.
     pub may_watch: bool,
-    /// Version of its configuration; 0 before any.
+    /// Version of its configuration; 0 before it has one.
     pub version: u64,
-    /// A number that stands for all entries of backend servers that it knows.
+    /// Digest of all entries of backend servers that it knows.
     pub digest: u64,
-    /// Its clock against this host's.
+    /// Estimated difference between its clock and this host's.
     pub clock: PeerClock,
     earlier_run: Option<Incarnation>,
     sequence: Option<u64>,
@@ -55,7 +55,7 @@
 }
 
 impl Peer {
-    /// Whether it was heard lately.
+    /// Returns whether it has sent a report recently.
     #[must_use]
     pub fn is_live(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.heard_at) < PEER_SILENCE
@@ -67,7 +67,7 @@
     }
 }
 
-/// A count that is divided.
+/// Counts items as a floating-point number, for divisions.
 fn number_of<T>(items: impl Iterator<Item = T>) -> f64 {
     items.map(|_| 1.0).sum()
 }
@@ -76,29 +76,30 @@
     now.saturating_duration_since(at) < CELL_SILENCE
 }
 
-/// What a report has that was not known before.
+/// What a report contains that was not known before.
 #[derive(Debug, Default)]
 pub struct News {
-    /// Quota units used since the report before.
+    /// Quota units used since the previous report.
     pub usage: Vec<(AccountId, f64)>,
-    /// Levels of accounts that have little left.
+    /// Quota levels of accounts that have little left.
     pub low_levels: Vec<(AccountId, f64)>,
-    /// What callers asked of it since the report before.
+    /// Requests that callers sent it since the previous report.
     pub asked: Vec<ArrivalCount>,
-    /// Contents under suspicion.
+    /// Contents that crashed backend servers.
     pub strikes: Vec<Strike>,
 }
 
-/// All peers that were heard of.
+/// All known peers, and the other cells.
 #[derive(Debug, Default)]
 pub struct Fleet {
     peers: BTreeMap<HostId, Peer>,
-    /// Peers by their present run, which names the sender of a short report.
+    /// Peers by the incarnation of their current process, which identifies the sender of a short
+    /// report.
     runs: HashMap<Incarnation, HostId>,
     other_cells: BTreeMap<CellIndex, OtherCell>,
 }
 
-/// Another cell, as one of its hosts told last.
+/// Another cell, as the last report from one of its hosts shows it.
 #[derive(Debug)]
 struct OtherCell {
     callers: Vec<SocketAddr>,
@@ -106,8 +107,8 @@
 }
 
 impl Fleet {
-    /// Takes a report; one that was overtaken by a later one tells nothing, and neither
-    /// does a short one from a host of which no whole one was heard.
+    /// Applies a report. One that was overtaken by a later one changes nothing, and neither does
+    /// a short one from a host that has sent no whole one yet.
     pub fn apply(&mut self, report: Report, now: Instant, boot_time: BootTime) -> News {
         let Some(whole) = &report.whole else {
             let known = self.runs.get(&report.run);
@@ -144,39 +145,39 @@
         peer.take(report, is_new, now)
     }
 
-    /// Peers that were heard lately.
+    /// Iterates over the live peers.
     pub fn live_peers(&self, now: Instant) -> impl Iterator<Item = (&HostId, &Peer)> {
         self.peers.iter().filter(move |(_, peer)| peer.is_live(now))
     }
 
-    /// Where peers took reports that have been silent for a while.
+    /// Iterates over the addresses at which peers that are no longer live received reports.
     pub fn silent_addresses(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
         let silent = self.peers.values().filter(move |it| !it.is_live(now));
         silent.map(|it| it.address)
     }
 
-    /// A peer.
+    /// Returns a peer by its name.
     #[must_use]
     pub fn peer(&self, host: &str) -> Option<&Peer> {
         self.peers.get(host)
     }
 
-    /// Where callers may connect in other cells that were heard lately.
+    /// Iterates over the addresses at which callers may connect in other live cells.
     pub fn other_cell_callers(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
         let heard = self.other_cells.values();
         let heard = heard.filter(move |it| is_recent(it.heard_at, now));
         heard.flat_map(|cell| cell.callers.iter().copied())
     }
 
-    /// All peers, heard lately or not.
+    /// Iterates over all known peers, live or not.
     pub fn iter(&self) -> impl Iterator<Item = (&HostId, &Peer)> {
         self.peers.iter()
     }
 
-    /// Which part of the fleet this host hears, itself included.
+    /// Returns the fraction of the fleet that is live for this host, itself included.
     ///
-    /// Hosts that were `found` lately and never heard count like those that fell silent: a
-    /// host that has just started hears nobody, and is not the whole fleet.
+    /// Hosts that were `found` recently but have never sent a report count like those that fell
+    /// silent: a host that has just started has received no reports, and is not the whole fleet.
     #[must_use]
     pub fn live_fraction<'a>(&self, found: impl Iterator<Item = &'a HostId>, now: Instant) -> f64 {
         let heard = 1.0 + number_of(self.live_peers(now));
@@ -185,13 +186,13 @@
         heard / (heard + number_of(silent) + number_of(unheard))
     }
 
-    /// Hosts that take part, this one included.
+    /// Returns the number of live hosts, this one included.
     #[must_use]
     pub fn size(&self, now: Instant) -> usize {
         self.live_peers(now).count() + 1
     }
 
-    /// Drops peers that were silent for long.
+    /// Removes peers that have been silent for long.
     pub fn remove_expired(&mut self, now: Instant) {
         self.peers
             .retain(|_, peer| peer.is_live(now) || peer.may_be_cut_off(now));
@@ -226,8 +227,8 @@
         }
     }
 
-    /// Totals of a peer that is heard for the first time say nothing of the last moments:
-    /// they are where its differences begin.
+    /// Applies a report of this peer. The totals in its first report say nothing about recent
+    /// use: they are only the baseline of later differences.
     fn take(&mut self, report: Report, is_new: bool, now: Instant) -> News {
         if self.sequence.is_some_and(|last| report.sequence <= last) {
             return News::default();
--- a/crates/jaypin_router/src/grounds.rs
+++ b/crates/jaypin_router/src/grounds.rs
@@ -1,4 +1,4 @@
-//! What a decision rested on, for logs and explanations.
+//! The inputs of a decision, for logs and explanations.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 /// The inputs of one decision, as they were when it was made.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DecisionInputs {
-    /// The configuration, or the lack of a proved one.
+    /// The configuration, or the lack of one that is known to be the newest.
     Configuration {
-        /// Its version; 0 before any.
+        /// Its version; 0 before there is one.
         version: u64,
-        /// Time since it was the newest for sure, where it ever was.
+        /// Time since it was known to be the newest; absent if it never was.
         proof_age: Option<Duration>,
     },
     /// The host is leaving.
@@ -23,48 +23,48 @@
     Quota {
         /// The account.
         account: AccountId,
-        /// Units that the request takes.
+        /// Units that the request needs.
         units: f64,
-        /// Units that are left for its more urgent requests.
+        /// Units that are reserved for the account's more urgent requests.
         kept: f64,
-        /// What the account has left, where it is limited.
+        /// What the account has left; absent if it is not limited.
         level: Option<QuotaLevel>,
     },
-    /// Backend servers died under the same content.
+    /// Backend servers crashed while running the same content.
     Crashes {
-        /// How many.
+        /// Number of backend servers that crashed.
         crash_count: u32,
     },
-    /// The best place that was found.
+    /// The best backend server that was found.
     Place {
         /// Estimated time to the first event there.
         first_event: Duration,
-        /// Time that it may take.
+        /// Limit of the time to the first event.
         limit: Duration,
         /// Estimated wait for a slot there.
         slot_wait: Duration,
-        /// Time that it may take.
+        /// Limit of the wait for a slot.
         slot_limit: Duration,
-        /// Requests that run there, of all hosts.
+        /// Requests that run there, from all hosts.
         running: u32,
-        /// Prompt tokens that have to be read there before.
+        /// Prompt tokens that have to be read there first.
         tokens_ahead: u32,
-        /// Part of the time for the whole answer that it is expected to take, where that is
-        /// known.
+        /// Fraction of the time for the whole answer that it is expected to take; absent if
+        /// unknown.
         time_fraction: Option<f64>,
-        /// Whether it was found in trouble.
+        /// Whether it was unreachable, failing or overdue with an answer.
         is_unhealthy: bool,
-        /// Its version, where that is under trial.
+        /// Its version, if that is a canary version.
         version: Option<SoftwareVersion>,
     },
-    /// The slots that are free are kept for requests that are more urgent.
+    /// The free slots are reserved for more urgent requests.
     Reserved {
-        /// Slots of the service that are free.
+        /// Free slots of the service.
         free: u32,
-        /// Slots that are kept.
+        /// Reserved slots.
         kept: f64,
     },
-    /// No backend server of the service takes requests now.
+    /// No backend server of the service accepts requests now.
     NoUsableBackend {
         /// Backend servers whose rate limit leaves nothing for this host at the moment.
         limited: usize,
@@ -73,11 +73,11 @@
     },
     /// The time for the answer is over.
     Deadline,
-    /// How the last call ended, and how often the request may have run.
+    /// The calls that were made for the request.
     Call {
-        /// Calls on which it may have run.
+        /// Number of calls in which it may have run.
         possible_runs: u32,
-        /// Backend servers that were tried.
+        /// Number of backend servers that it was sent to.
         attempted: usize,
     },
 }
--- a/crates/jaypin_router/src/lib.rs
+++ b/crates/jaypin_router/src/lib.rs
@@ -1,9 +1,8 @@
 //! Decisions of a host that chooses backend servers by the fleet's shared load.
 //!
-//! Each host tells its peers what it has running, several times a second, and decides by
-//! itself from its own calls and what the peers told. [`Router::apply`] is the only owner
-//! of this state. It does no I/O and reads no clock, so the same events give the same
-//! effects.
+//! Each host reports what it has running to its peers several times a second, and decides on its
+//! own from its own calls and its peers' reports. [`Router::apply`] is the only owner of this
+//! state. It does no I/O and reads no clock, so the same events give the same effects.
 
 mod account_asked;
 mod asked;
@@ -79,7 +78,7 @@
 pub use view::{BackendSubsets, SubsetKind};
 pub use waiting::WaitingList;
 
-/// Number of a request in one run of a host's process.
+/// Number of a request, unique within one run of a host's process.
 pub type RequestNumber = u64;
 /// Short key of a backend server in reports: a hash of its id.
 pub type BackendKey = u32;
@@ -89,32 +88,32 @@
 pub type ServiceKey = u32;
 /// Name of a version of the software that a service's backend servers run.
 pub type SoftwareVersion = std::sync::Arc<str>;
-/// Time on a clock that also counts while the host is suspended, since some fixed start.
+/// Time since a fixed start, on a clock that also counts while the host is suspended.
 pub type BootTime = std::time::Duration;
 
-/// The key under which a backend server stands in reports.
+/// Returns the key that stands for a backend server in reports.
 ///
-/// Four bytes in place of an id of up to forty keep a report of sixty backend servers in
-/// one datagram. Two of 600 share a key once in 24,000 fleets; both would then count each
-/// other's load.
+/// Four bytes in place of an id of up to forty keep a report of sixty backend servers within one
+/// datagram. Among 600 backend servers, two share a key in one of 24,000 fleets; the load of each
+/// then also counts for the other.
 #[must_use]
 pub fn backend_key(id: &str) -> BackendKey {
     short_hash(id)
 }
 
-/// The key under which a host stands in reports.
+/// Returns the key that stands for a host in reports.
 #[must_use]
 pub fn host_key(name: &str) -> HostKey {
     short_hash(name)
 }
 
-/// The key under which a service stands in reports.
+/// Returns the key that stands for a service in reports.
 #[must_use]
 pub fn service_key(name: &str) -> ServiceKey {
     short_hash(name)
 }
 
-/// The key under which a route stands in reports.
+/// Returns the key that stands for a route in reports.
 #[must_use]
 pub fn route_key(name: &str) -> RouteKey {
     short_hash(name)
--- a/crates/jaypin_router/src/peer_loads.rs
+++ b/crates/jaypin_router/src/peer_loads.rs
@@ -1,4 +1,4 @@
-//! What other hosts have running on backend servers, as they told last.
+//! Load of other hosts on backend servers, as last reported.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,22 +7,22 @@
 
 use crate::{BackendKey, BackendLoad, BackendSamples, HostKey, Report};
 
-/// Time after which what a host told of a backend server is no longer believed.
+/// Time after which a host's last reported load on a backend server expires.
 ///
-/// It tells what it has running there twice in this time, so what stays silent is gone with
-/// its process or behind a cut, and one lost datagram forgets nothing.
+/// A host reports its load there twice in this time, so one that stays silent has exited or is
+/// cut off, and the loss of one datagram expires nothing.
 const LAPSE: Duration = Duration::from_millis(1_300);
-/// Time without a word of its load after which a host is forgotten.
+/// Time without a report of its load after which a host is removed.
 const FORGOTTEN: Duration = Duration::from_mins(1);
-/// Time after which prompts that were told are taken as read, where the host tells others.
+/// Time after which reported prompts count as read when the host reports again.
 const READ_WITHIN: Duration = Duration::from_millis(150);
-/// Reports of a run within which it has hardly served anything.
+/// Number of reports of a run within which the host has hardly served anything.
 const FRESH_REPORTS: u64 = 8;
-/// Calls up to which totals that are heard for the first time are news: they are of the
-/// last seconds, or say little.
+/// Number of calls up to which the first totals received from a host count as new: they are of
+/// the last seconds, or say little.
 const FEW_CALLS: u32 = 8;
 
-/// What other hosts told, by host and summed up by backend server.
+/// Reported load, by host and summed up by backend server.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     hosts: HashMap<HostKey, HostLoads>,
@@ -46,28 +46,28 @@
     at: Instant,
 }
 
-/// A change of what other hosts have running on a backend server.
+/// A change of the load that other hosts have on a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadChange {
-    /// The backend server.
+    /// Key of the backend server.
     pub key: BackendKey,
     /// Prompt tokens of requests that began there.
     pub new_prompt_tokens: u32,
 }
 
-/// What a report has that was not known before.
+/// What a report contains that was not known before.
 #[derive(Debug, Default)]
 pub struct LoadUpdate {
     /// Backend servers on which something changed.
     pub changed: Vec<LoadChange>,
-    /// Whether a slot came free.
+    /// Whether a slot became free.
     pub has_freed_slot: bool,
-    /// What was learned of backend servers.
+    /// What was learned about backend servers.
     pub samples: Vec<BackendSamples>,
 }
 
 impl PeerLoads {
-    /// Takes what a report says of backend servers.
+    /// Applies what a report says about backend servers.
     pub fn apply(&mut self, report: &Report, now: Instant) -> LoadUpdate {
         let mut news = LoadUpdate::default();
         if report.loads.is_empty() && report.samples.is_empty() {
@@ -108,14 +108,14 @@
         news
     }
 
-    /// What other hosts have running on a backend server.
+    /// Returns the load that other hosts have on a backend server.
     #[must_use]
     pub fn sum(&self, key: BackendKey) -> BackendLoad {
         let sum = self.sums.get(&key).copied();
         sum.unwrap_or_else(|| BackendLoad::none(key))
     }
 
-    /// Forgets what was not told again in time.
+    /// Removes loads that were not reported again in time.
     pub fn expire(&mut self, now: Instant) -> LoadUpdate {
         let mut news = LoadUpdate::default();
         let sums = &mut self.sums;
@@ -133,7 +133,8 @@
         news
     }
 
-    /// A new process of a host has nothing running, whatever the one before told.
+    /// Starts a new run of a host: its new process has nothing running, whatever the one before
+    /// reported.
     fn begin_run(&mut self, report: &Report, now: Instant, news: &mut LoadUpdate) {
         let known = self.hosts.remove(&report.host);
         let earlier_run = known.as_ref().map(|it| it.run);
@@ -153,8 +154,9 @@
 }
 
 impl HostLoads {
-    /// What is new in totals; those of a host that ran for long before it was heard are
-    /// where its differences begin, as they may be minutes old.
+    /// Returns what is new in totals. The first totals of a host that had run for long before its
+    /// first report arrived may be minutes old, so they are only the baseline of later
+    /// differences.
     fn learn(&mut self, samples: BackendSamples) -> Option<BackendSamples> {
         let before = self.samples.insert(samples.key, samples);
         let is_recent = self.is_known_from_start || samples.good + samples.bad <= FEW_CALLS;
@@ -164,7 +166,7 @@
 }
 
 impl Told {
-    /// Prompt tokens that came since it was told before.
+    /// Returns the prompt tokens that were added since the report before.
     fn begun_tokens(&self, before: Option<&Self>) -> u32 {
         let is_fresh = |it: &&Self| self.at.saturating_duration_since(it.at) < READ_WITHIN;
         let unread = before.filter(is_fresh).map(|it| it.load.unread_tokens);
@@ -173,7 +175,7 @@
     }
 }
 
-/// What was told before is over.
+/// Removes a load that was reported before.
 fn end(sums: &mut HashMap<BackendKey, BackendLoad>, before: BackendLoad, news: &mut LoadUpdate) {
     let change = LoadChange {
         key: before.key,
--- a/crates/jaypin_router/src/placement.rs
+++ b/crates/jaypin_router/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which backend server a request goes to.
+//! Choice of the backend server for a request.
 
 use std::time::{Duration, Instant};
 
@@ -7,68 +7,72 @@
 use crate::Backend;
 use crate::pace::CALL_OVERHEAD;
 
-/// Worth of an empty backend server against a quick first event: a full batch counts as
-/// much as this part of the aim.
+/// Weight of the fill level against the time to the first event: a full batch counts as much as
+/// this fraction of the latency target.
 ///
-/// Long prompts differ by more than that between unlike engines and go to the fast ones,
-/// short ones don't and go where there is room.
+/// For long prompts, unlike engines differ by more than that, so these go to the fast ones. For
+/// short prompts they don't, so these go where there is room.
 const WEIGHT_OF_FILL: f64 = 0.3;
-/// Part of the longest pause that prefills may take beside running streams.
+/// Fraction of the longest allowed pause that prefills may take beside running streams.
 const PAUSE_PART: f64 = 0.7;
-/// Weight of a stream that pauses too long because of a prefill.
+/// Weight of each stream that pauses too long because of a prefill.
 const WEIGHT_OF_PAUSE: f64 = 0.15;
-/// Cost of a backend server in trouble, in aims: taken only where there is no other.
+/// Cost of an unhealthy backend server, in latency targets: it is chosen only if there is no
+/// other.
 const WEIGHT_OF_TROUBLE: f64 = 50.0;
 
-/// Part of the time for an answer that it may take as expected, so that most answers end in
-/// time: half of them are longer than expected, some twice as long.
+/// Fraction of the time for an answer that the answer may be expected to take, so that most
+/// answers end in time: half of them take longer than expected, some twice as long.
 const SAFE_PART: f64 = 0.4;
-/// Weight of what an answer takes beyond that part.
+/// Weight of what an answer is expected to take beyond that fraction.
 const WEIGHT_OF_OVERRUN: f64 = 1.5;
-/// Cost of a place that does not serve, in aims: less than that of one in trouble.
+/// Cost of a backend server that does not serve the request, in latency targets; less than that
+/// of an unhealthy one.
 const WEIGHT_OF_LACK: f64 = 10.0;
 
-/// What a request needs.
+/// What a request needs from a backend server.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand {
     /// Tokens of its prompt.
     pub prompt_tokens: u32,
     /// Time within which its first event is worth most.
     pub latency_target: Duration,
-    /// Longest pause of streams beside it.
+    /// Longest allowed pause of the streams that run beside it.
     pub longest_pause: Option<Duration>,
-    /// Time that a request of the service holds its slot, where none was seen.
+    /// Slot hold time of a request of the service, used where none was observed.
     pub hold_time: Duration,
-    /// Events that its answer is expected to have.
+    /// Number of events that its answer is expected to have; absent if unknown.
     pub events: Option<f64>,
-    /// Time within which the whole answer is worth anything.
+    /// Time after which the whole answer is worth nothing.
     pub time_left: Duration,
 }
 
-/// A backend server that was chosen.
+/// A chosen backend server, with the estimates for the request there.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
     /// The backend server.
     pub backend: BackendId,
     /// Estimated time to the first event.
     pub first_event: Duration,
-    /// Part of the time for the whole answer that it is estimated to take, where that is known.
+    /// Fraction of the time for the whole answer that it is estimated to take; absent if unknown.
     pub time_fraction: Option<f64>,
     /// Estimated wait for a slot.
     pub slot_wait: Duration,
-    /// Mean time between two slots that come free there, while all are taken.
+    /// Mean time between two slots becoming free there, while all are taken.
     pub slot_interval: Duration,
-    /// Tokens that it reads before.
+    /// Prompt tokens that it has to read first.
     pub tokens_ahead: u32,
     /// Whether a slot is free.
     pub has_slot: bool,
-    /// Whether it was found in trouble.
+    /// Whether the backend server is unhealthy.
     pub is_unhealthy: bool,
 }
 
-/// Finds the best place, one that `serves` the request before one that does not; several that
-/// are equally good are taken by turns, given by `turn`, since all hosts see the same loads at
-/// nearly the same time.
+/// Returns the best backend server for a request, without those in `tried`.
+///
+/// One that `serves` the request is preferred to one that does not. The random numbers of `turn`
+/// spread requests over equally good ones, since all hosts see the same loads at nearly the same
+/// time.
 pub fn best_place<'a>(
     backends: impl Iterator<Item = &'a Backend>,
     demand: &Demand,
@@ -92,7 +96,7 @@
     best.map(|(_, choice)| choice)
 }
 
-/// Spread of scores that are taken as equal: about one request in a batch of nine.
+/// Spread of the scores that count as equal: about one request in a batch of nine.
 const JITTER: f64 = 0.03;
 
 fn weigh(backend: &Backend, demand: &Demand, now: Instant) -> Choice {
--- a/crates/jaypin_router/src/proof.rs
+++ b/crates/jaypin_router/src/proof.rs
@@ -1,17 +1,19 @@
-//! When what a peer proved was true, on this host's clock.
+//! Conversion of a peer's times to this host's clock.
 
 use std::time::Duration;
 
 use crate::BootTime;
 
-/// Reports from which a peer's clock is taken as known: the first may all have waited.
+/// Number of reports from which a peer's clock counts as known: the first ones may all have been
+/// delayed.
 const LEAST_REPORTS: u32 = 6;
 
 /// The difference between a peer's clock and this host's, learned from its reports.
 ///
-/// Guards against a proof that was under way for long: a report that waited in a queue, or
-/// in front of a suspended process, shows by taking longer than the quickest one did. Both
-/// clocks count suspended time and are never set, so their difference stays.
+/// A proof, that is a time at which the configuration was known to be the newest, must not seem
+/// newer than it is because it was in transit for long. A report that waited in a queue, or in
+/// front of a suspended process, is recognized by taking longer than the quickest one did. Both
+/// clocks count suspended time and are never set, so their difference is constant.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct PeerClock {
     /// Least difference seen, in microseconds: that of the quickest report.
@@ -20,15 +22,15 @@
 }
 
 impl PeerClock {
-    /// Takes a report that was sent at `sent` by the peer's clock and came at `now`.
+    /// Records a report that was sent at `sent` by the peer's clock and arrived at `now`.
     pub fn record(&mut self, sent: BootTime, now: BootTime) {
         let difference = micros(now) - micros(sent);
         self.least = Some(self.least.map_or(difference, |least| least.min(difference)));
         self.reports = self.reports.saturating_add(1);
     }
 
-    /// The time by this host's clock at which the peer's was `at`, as early as it may
-    /// have been; nothing while the clock is not known.
+    /// Returns the time by this host's clock at which the peer's clock showed `at`, as early as
+    /// it may have been; nothing while the clock is not known.
     #[must_use]
     pub fn to_local_time(&self, at: BootTime) -> Option<BootTime> {
         let least = self.least.filter(|_| self.reports >= LEAST_REPORTS)?;
@@ -38,7 +40,8 @@
     }
 }
 
-/// Longest time that the quickest of several reports takes: between regions, 12 ms one way.
+/// Longest time that the quickest of several reports may take; between regions, one way takes 12
+/// ms.
 const QUICKEST: Duration = Duration::from_millis(60);
 
 fn micros(time: Duration) -> i128 {
--- a/crates/jaypin_router/src/quota.rs
+++ b/crates/jaypin_router/src/quota.rs
@@ -1,12 +1,12 @@
-//! Quotas of client accounts over the whole fleet, held without a message a request.
+//! Quotas of client accounts over the whole fleet, enforced without a message per request.
 //!
-//! Each host keeps a level for each account: what the whole fleet may still give out at
-//! once. The account's rate fills it, and what any host gives out is taken off it, by
-//! reports. The use in a window is bounded besides, which holds a fleet to its quotas that
-//! is in parts and does not hear itself.
+//! Each host keeps a level for each account: the units that the whole fleet may still grant at
+//! once. The account's rate refills it, and what any host grants is subtracted from it, by
+//! reports. The use in a window is limited as well, which keeps a fleet to its quotas when it is
+//! split into parts that receive no reports from each other.
 //!
 //! Over a window an account may use its rate, its burst, a tenth more, and the fleet's slack.
-//! What is given out stays below that also around a common restart, at which all use is
+//! What is granted stays below that also around a restart of all hosts, at which all use is
 //! forgotten: full level and rate before it, first level and rate after it.
 
 use std::collections::{HashMap, VecDeque};
@@ -16,35 +16,35 @@
 
 use crate::{Account, Quota};
 
-/// Parts of the window: use is forgotten one part at a time.
+/// Number of parts of the window; use is forgotten one part at a time.
 const PARTS: u32 = 16;
-/// Seconds of its rate that an account may use at once besides its burst: accounts come in
-/// bursts and keep to their rate over the window that counts.
+/// Seconds of its rate that an account may use at once besides its burst: accounts send in bursts
+/// and keep to their rate over the window that counts.
 const CATCH_UP_SECONDS: f64 = 0.7;
-/// Part of the fleet's slack that an account may use at once besides: small accounts send
-/// a prompt of several seconds' rate now and then.
+/// Fraction of the fleet's slack that an account may use at once besides: small accounts now and
+/// then send a prompt worth several seconds of their rate.
 const SLACK_PART: f64 = 0.7;
-/// Seconds of its rate that an account may use at once right after a start, over the whole
-/// fleet: each host gives out its part, as far as it knows it.
+/// Seconds of its rate that an account may use at once right after a start, over the whole fleet:
+/// each host grants its share, as far as it knows it.
 ///
-/// Hosts that start together hear nothing of each other's use for a tenth of a second.
+/// Hosts that start together receive no reports of each other's use for a tenth of a second.
 const FIRST_SECONDS: f64 = 0.2;
-/// Part of the fleet's slack that an account may use besides in that moment: callers that
-/// were cut off by a common restart all come back in the first half second of it.
+/// Fraction of the fleet's slack that an account may use besides at that moment: callers that
+/// were cut off by a restart of all hosts all retry in the first half second after it.
 const FIRST_SLACK_PART: f64 = 0.25;
-/// Time after its start within which a host takes over lower levels of its peers, and
-/// within which its own levels tell nothing: five whole reports.
+/// Time after its start within which a host adopts lower levels of its peers and does not report
+/// its own: five whole reports.
 const SETTLING: Duration = Duration::from_secs(2);
-/// Part of what may be used at once that is left for urgent requests at the most: an account
-/// whose urgent work alone exceeds its rate still gets the other part for the rest after a
-/// calm second or two.
+/// Greatest fraction of what may be used at once that is reserved for urgent requests: an account
+/// whose urgent work alone exceeds its rate still gets the other part for its remaining requests
+/// after a calm second or two.
 const MOST_LEFT_PART: f64 = 0.4;
 /// Longest wait that is stated to an account over its quota.
 const LONGEST_WAIT: Duration = Duration::from_secs(30);
 /// Shortest such wait.
 const SHORTEST_WAIT: Duration = Duration::from_millis(50);
 
-/// What all limited accounts used in the last window, as this host sees it.
+/// What all limited accounts used in the last window, as far as this host knows.
 #[derive(Debug)]
 pub struct FleetQuota {
     window: Duration,
@@ -59,20 +59,20 @@
     /// Use by part of the window, the oldest first.
     parts: VecDeque<f64>,
     newest_since: Instant,
-    /// Units that may be used at once; below 0 a debt.
+    /// Units that may be used at once; a negative number is a debt.
     level: f64,
-    /// Greatest part of the fleet's first level that is in it.
+    /// Greatest fraction of the fleet's first level that was added to `level`.
     opened_part: f64,
     filled_at: Instant,
     started_at: Instant,
-    /// Use of this host in its run.
+    /// Units that this host granted in its run.
     own: f64,
 }
 
-/// What a decision about an account rested on, in units.
+/// Inputs of a decision about an account, in units.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaLevel {
-    /// Units that it may use at once; below 0 a debt.
+    /// Units that it may use at once; a negative number is a debt.
     pub left: f64,
     /// Units that it used in the window.
     pub used: f64,
@@ -81,8 +81,8 @@
 }
 
 impl FleetQuota {
-    /// Starts with a window over which use is counted, and the units by which an account
-    /// may exceed its quota in one.
+    /// Creates quotas whose use is counted over `window`; `slack` is the number of units by which
+    /// an account may exceed its quota in one window.
     #[must_use]
     pub fn new(window: Duration, slack: f64) -> Self {
         Self {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes the quotas of a configuration; accounts that were there keep their use.
+    /// Applies the quotas of a configuration; accounts that existed before keep their use.
     pub fn configure(&mut self, accounts: &[Account], now: Instant) {
         let mut before = std::mem::take(&mut self.accounts);
         let limited = accounts.iter().filter_map(|it| Some((it, it.quota?)));
@@ -105,28 +105,28 @@
         }
     }
 
-    /// Says which part of the fleet this host hears, itself included.
+    /// Sets the fraction of the fleet that is live for this host, itself included.
     ///
-    /// Guards against a fleet in two parts that do not hear each other: each allows its
-    /// part of the quotas, so both together keep to them.
+    /// If the fleet is split into two parts that receive no reports from each other, each part
+    /// grants its fraction of the quotas, so both together keep to them.
     pub fn set_live_fraction(&mut self, part: f64) {
         self.heard_part = part;
     }
 
-    /// Takes units of an account's quota.
+    /// Takes units from an account's quota.
     ///
     /// # Errors
-    /// Gives the time after which there is enough, when there is not.
+    /// Returns the time after which there are enough units, if there are too few now.
     pub fn take(&mut self, account: &AccountId, units: f64, now: Instant) -> Result<(), Duration> {
         self.take_with_reserve(account, units, 0.0, now)
     }
 
-    /// Takes units of an account's quota if so many are left after it.
+    /// Takes units from an account's quota if `left` units remain after that.
     ///
-    /// An account that presses then gives the last of its quota to its urgent requests.
+    /// An account at its limit thus gives the last units of its quota to its urgent requests.
     ///
     /// # Errors
-    /// Gives the time after which there is enough, when there is not.
+    /// Returns the time after which there are enough units, if there are too few now.
     pub fn take_with_reserve(
         &mut self,
         account: &AccountId,
@@ -140,10 +140,10 @@
         };
         usage.forget(window / PARTS, now);
         usage.fill(heard_part, slack, now);
-        // A request larger than all that is allowed passes when nothing was used.
+        // A request for more than may ever be used at once passes when nothing was used.
         let most = usage.quota.most_at_once(slack) * heard_part;
         let needed = units.min(most);
-        // Leaving more would refuse such a request for ever.
+        // Reserving more would refuse such a request forever.
         let needed = needed + left.min(most * MOST_LEFT_PART).min(most - needed);
         let excess = usage.total() + needed - usage.quota.allowed(window, slack) * heard_part;
         if excess > 0.0 {
@@ -152,8 +152,8 @@
         }
         let missing = needed - usage.level;
         if missing > 0.0 {
-            // The whole fleet's rate: a host that gives out a part only is one of many that
-            // the caller may come back to, and will soon hear the others.
+            // This uses the rate of the whole fleet: a host that grants only a part is one of
+            // many that the caller may retry at, and will soon receive the others' reports.
             let wait = (missing / usage.quota.rate.max(1e-3)).min(LONGEST_WAIT.as_secs_f64());
             return Err(Duration::from_secs_f64(wait).max(SHORTEST_WAIT));
         }
@@ -162,7 +162,7 @@
         Ok(())
     }
 
-    /// Gives units back that were taken for a request which did not run.
+    /// Returns units that were taken for a request which did not run.
     pub fn give_back(&mut self, account: &AccountId, units: f64) {
         if let Some(usage) = self.accounts.get_mut(account) {
             usage.add(-units);
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Counts what a peer used.
+    /// Records units that a peer granted.
     pub fn record_peer_usage(&mut self, account: &AccountId, units: f64, now: Instant) {
         let (part, slack, heard_part) = (self.window / PARTS, self.slack, self.heard_part);
         if let Some(usage) = self.accounts.get_mut(account) {
@@ -180,11 +180,11 @@
         }
     }
 
-    /// Takes over the level of a peer that has run for longer, where it is lower.
+    /// Adopts the level of a peer that has run for longer, where it is lower.
     ///
-    /// Guards against hosts that restart in turn: each would begin with a first level while
-    /// the fleet has nothing left to give out, and an account that presses would get one
-    /// more with each restart.
+    /// If hosts that restart one after another began with a first level each while the fleet has
+    /// nothing left to grant, an account at its limit would get one more first level with each
+    /// restart.
     pub fn apply_peer_level(&mut self, account: &AccountId, level: f64, now: Instant) {
         let (slack, heard_part) = (self.slack, self.heard_part);
         if let Some(usage) = self.accounts.get_mut(account)
@@ -195,7 +195,7 @@
         }
     }
 
-    /// What a decision about an account rests on.
+    /// Returns the inputs of a decision about an account; nothing if it is not limited.
     #[must_use]
     pub fn level(&self, account: &AccountId) -> Option<QuotaLevel> {
         let usage = self.accounts.get(account)?;
@@ -206,13 +206,13 @@
         })
     }
 
-    /// What this host used of each account's quota in its run.
+    /// Iterates over the units that this host granted to each account in its run.
     pub fn usage(&self) -> impl Iterator<Item = (AccountId, f64)> {
         let accounts = self.accounts.iter();
         accounts.map(|(account, usage)| (account.clone(), usage.own))
     }
 
-    /// Levels that a host which has just started must not begin above.
+    /// Returns the levels above which a host that has just started must not begin.
     pub fn low_levels(&mut self, now: Instant) -> Vec<(AccountId, f64)> {
         let (slack, heard_part) = (self.slack, self.heard_part);
         let mut low = Vec::new();
@@ -228,7 +228,7 @@
 }
 
 impl Quota {
-    /// Units in a window: a full level, and the rate.
+    /// Returns the units allowed in a window: a full level, and the rate.
     fn allowed(self, window: Duration, slack: f64) -> f64 {
         self.most_at_once(slack) + self.rate * window.as_secs_f64()
     }
@@ -274,9 +274,10 @@
         }
     }
 
-    /// Fills up what may be used at once.
+    /// Refills the units that may be used at once.
     fn fill(&mut self, heard_part: f64, slack: f64, now: Instant) {
-        // Peers' use is taken off it, so it becomes the whole fleet's as they are heard.
+        // Peers' use is subtracted from the level, so it becomes that of the whole fleet as their
+        // reports arrive.
         let opened = (heard_part - self.opened_part).max(0.0);
         self.level += self.quota.first_level(slack) * opened;
         self.opened_part += opened;
@@ -297,7 +298,7 @@
         self.parts.iter().sum()
     }
 
-    /// Time until so much of the use is forgotten.
+    /// Returns the time until `excess` units of use are forgotten.
     fn time_until_free(&self, excess: f64, part: Duration) -> Duration {
         let mut freed = 0.0;
         let mut time = Duration::ZERO;
--- a/crates/jaypin_router/src/rank.rs
+++ b/crates/jaypin_router/src/rank.rs
@@ -1,14 +1,14 @@
-//! How urgent a request is.
+//! Urgency of a request.
 
 use std::fmt;
 
 use crate::{Account, Route};
 
-/// Rank of a request; less is more urgent.
+/// Rank of a request; a smaller one is more urgent.
 ///
-/// The account's rank goes first, as operators ask. The route's own orders what is equal by
-/// it: where all accounts share a rank, a route that operators call urgent still goes before
-/// one that can wait.
+/// The account's rank is compared first, as operators ask. The route's own rank orders requests
+/// whose first rank is equal: where all accounts share a rank, a route that operators call urgent
+/// still precedes one that can wait.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rank {
     /// Rank of the account, or the route's where the account has none.
@@ -24,7 +24,7 @@
 }
 
 impl Rank {
-    /// The rank of an account's requests on a route.
+    /// Returns the rank of an account's requests on a route.
     #[must_use]
     pub fn of(account: Option<&Account>, route: &Route) -> Self {
         let of_account = account.and_then(|it| it.priority);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Whether operators call it most urgent, by the account or within what is equal by it.
+    /// Returns whether the account or the route has the most urgent rank.
     #[must_use]
     pub fn is_most_urgent(self) -> bool {
         self.account == 0 || self.route == 0
--- a/crates/jaypin_router/src/rate.rs
+++ b/crates/jaypin_router/src/rate.rs
@@ -1,8 +1,8 @@
-//! Rates that forget.
+//! Rates that decay over time.
 
 use std::time::{Duration, Instant};
 
-/// A rate over about the last `memory`: what was counted then counts for 1/e now.
+/// A rate over about the last `memory`: the weight of a count falls to 1/e in that time.
 #[derive(Debug, Clone, Copy)]
 pub struct DecayedRate {
     per_second: f64,
@@ -11,7 +11,7 @@
 }
 
 impl DecayedRate {
-    /// Starts at nothing.
+    /// Creates a rate of 0.
     #[must_use]
     pub fn new(memory: Duration, now: Instant) -> Self {
         Self {
@@ -21,13 +21,13 @@
         }
     }
 
-    /// Counts so much.
+    /// Adds `amount` to what was counted.
     pub fn count(&mut self, amount: f64, now: Instant) {
         self.per_second = self.at(now) + amount / self.memory.as_secs_f64();
         self.at = now;
     }
 
-    /// How much came in a second.
+    /// Returns the rate per second.
     #[must_use]
     pub fn at(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at).as_secs_f64();
--- a/crates/jaypin_router/src/report.rs
+++ b/crates/jaypin_router/src/report.rs
@@ -1,4 +1,4 @@
-//! What a host tells its peers, several times a second.
+//! Reports that a host sends to its peers, several times a second.
 
 use std::net::SocketAddr;
 
@@ -13,153 +13,155 @@
 
 /// What one host has running and has learned.
 ///
-/// Everything in it is a state or a running total, never a difference: a report that is
-/// lost is made good by a later one.
+/// Each field is a state or a running total, never a difference, so a later report makes up for
+/// one that is lost.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// The sender.
+    /// Key of the sender.
     pub host: HostKey,
-    /// Number of the sender's run, drawn at random, since clocks may jump back.
+    /// Incarnation of the sender's process, drawn at random since clocks may jump back.
     pub run: Incarnation,
-    /// Count of reports within the run; a smaller one is late and ignored.
+    /// Number of the report within the run; a report with a smaller number is late and ignored.
     pub sequence: u64,
-    /// Whether callers should be sent to it.
+    /// Whether callers should be sent to the sender.
     pub is_ready: bool,
-    /// What it has running, where that changed or was not told for a while: to hosts that
-    /// use the same backend servers.
+    /// Load of the sender on backend servers, where it changed or was not reported for a while;
+    /// for hosts that use the same backend servers.
     pub loads: Vec<BackendLoad>,
-    /// What it has learned lately of these, as totals of this run.
+    /// What it has learned recently about these backend servers, as totals of this run.
     pub samples: Vec<BackendSamples>,
-    /// Quota units that accounts used, as totals of this run: all accounts in a whole
-    /// report, else those that used some.
+    /// Quota units that accounts used, as totals of this run: all accounts in a whole report,
+    /// otherwise those that used some.
     pub usage: Vec<(AccountId, f64)>,
-    /// What answers said of backend servers: of all in a whole report, else of those whose
-    /// load it tells.
+    /// Signals from the answers of backend servers: of all in a whole report, otherwise of those
+    /// whose load is reported.
     pub signals: Vec<SignalReport>,
-    /// Entries that changed lately, from hosts that watch.
+    /// Entries that changed recently, from hosts that watch the store.
     pub changes: Vec<EntryChange>,
-    /// The rest, in a whole report.
+    /// Further parts, in a whole report only.
     pub whole: Option<WholeReport>,
 }
 
-/// What a host tells a few times a second only, whatever happens.
+/// What a host sends only a few times a second, whatever happens.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WholeReport {
-    /// The host.
+    /// Name of the host.
     pub host: HostId,
-    /// Where it takes reports.
+    /// Address at which it receives reports.
     pub address: SocketAddr,
-    /// Where callers connect.
+    /// Address at which callers connect to it.
     pub callers: SocketAddr,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
     /// Its cell.
     pub cell: CellIndex,
-    /// When it was sent, by the host's clock that counts suspended time.
+    /// Time at which it was sent, by the host's clock that counts suspended time.
     pub sent_at: BootTime,
-    /// What it says of the store.
+    /// What it knows of the store.
     pub store: StoreView,
-    /// Levels of accounts that have little left; a host that has just started takes them
-    /// over.
+    /// Quota levels of accounts that have little left; a host that has just started adopts them.
     pub low_levels: Vec<(AccountId, f64)>,
-    /// What callers asked of it, as totals of this run.
+    /// Requests that callers sent it, as totals of this run.
     pub asked: Vec<ArrivalCount>,
-    /// Contents under which backend servers died.
+    /// Contents that crashed backend servers.
     pub crash_counts: Vec<Strike>,
-    /// Orders for new versions of services that are under way or have just ended.
+    /// Rollouts of new versions of services that are in progress or have just ended.
     pub rollouts: Vec<RolloutReport>,
-    /// To other cells: where callers of the sender's cell may connect.
+    /// In reports to other cells: the addresses at which callers of the sender's cell may
+    /// connect.
     pub cell_callers: Option<Vec<SocketAddr>>,
 }
 
 /// What a host knows of the platform's store.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StoreView {
-    /// Version of its configuration; 0 before any.
+    /// Version of its configuration; 0 before it has one.
     pub version: u64,
-    /// When that version was the newest, by its clock that counts suspended time.
+    /// Time at which that version was known to be the newest, by its clock that counts suspended
+    /// time.
     pub proved_at: Option<BootTime>,
-    /// Whether it may be relied on to watch.
+    /// Whether it may be relied on to watch the store.
     pub may_watch: bool,
-    /// Whether it watches.
+    /// Whether it watches the store.
     pub is_watching: bool,
-    /// A number that stands for all entries of backend servers that it knows.
+    /// Digest of all entries of backend servers that it knows.
     pub digest: u64,
-    /// The store's era, once one was heard.
+    /// The store's era; absent until one is known.
     pub era: Option<StoreEra>,
 }
 
-/// What a host knows of an order for a new version.
+/// What a host knows of a rollout.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutReport {
-    /// The order, as the store had it last.
+    /// The order for the new version, as the store had it last.
     pub order: RolloutOrder,
-    /// Time since anyone heard of it first.
+    /// Time since any host first learned of it.
     pub age: Duration,
     /// Whether the new version was found bad.
     pub is_bad: bool,
-    /// Whether the store has lost the order's end, which the order states here.
+    /// Whether the store has lost the end of the rollout, which `order` states.
     pub is_end_lost: bool,
-    /// What the host saw; to other cells: what it knows of its cell.
+    /// Outcomes that the host observed; in reports to other cells, those that it knows of its
+    /// cell.
     pub outcomes: VersionOutcomes,
 }
 
-/// What a host has running on a backend server.
+/// Load of a host on a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendLoad {
-    /// The backend server.
+    /// Key of the backend server.
     pub key: BackendKey,
-    /// Requests sent and not ended.
+    /// Requests that were sent and have not ended.
     pub running: u32,
-    /// Prompt tokens of those whose first event has not come.
+    /// Prompt tokens of those whose first event has not arrived.
     pub unread_tokens: u32,
 }
 
-/// What a host has learned of a backend server since its run began.
+/// What a host has learned about a backend server since its run began.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BackendSamples {
-    /// The backend server.
+    /// Key of the backend server.
     pub key: BackendKey,
-    /// Prompt tokens read, with those that were read before them.
+    /// Prompt tokens read, including those that the backend server had to read before them.
     pub tokens: f64,
-    /// Seconds that this took.
+    /// Seconds that reading them took.
     pub seconds: f64,
-    /// Seconds for which the calls that succeeded held their slots.
+    /// Seconds for which calls that succeeded held their slots.
     pub hold_seconds: f64,
-    /// Events of streams, behind the first of each.
+    /// Events of streams, without the first of each.
     pub events: f64,
-    /// Seconds that they took.
+    /// Seconds that these events took.
     pub event_seconds: f64,
     /// Calls that succeeded.
     pub good: u32,
-    /// Calls that failed by the backend server's fault.
+    /// Calls that failed through the backend server's fault.
     pub bad: u32,
 }
 
-/// What an answer said of a backend server.
+/// What an answer stated about a backend server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SignalReport {
-    /// The backend server.
+    /// Key of the backend server.
     pub key: BackendKey,
-    /// Start of its process, as it states it.
+    /// Start of the backend server's process, as it states it.
     pub started: u64,
-    /// What was said.
+    /// What was stated.
     pub signals: BackendSignals,
-    /// Time since it was heard.
+    /// Time since the answer arrived.
     pub age: Duration,
 }
 
-/// A content under which backend servers died.
+/// A content that crashed backend servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Strike {
     /// Fingerprint of the content, salted by its caller.
     pub fingerprint: u64,
-    /// Backend servers that died.
+    /// Number of backend servers that crashed while running it.
     pub crash_count: u32,
 }
 
 impl BackendLoad {
-    /// Nothing running.
+    /// Returns the load of a host that has nothing running there.
     #[must_use]
     pub fn none(key: BackendKey) -> Self {
         Self {
@@ -171,7 +173,7 @@
 }
 
 impl BackendSamples {
-    /// Nothing learned yet.
+    /// Returns the totals of a host that has learned nothing.
     #[must_use]
     pub fn none(key: BackendKey) -> Self {
         Self {
@@ -186,7 +188,7 @@
         }
     }
 
-    /// What was learned since an earlier total.
+    /// Returns what was learned since an earlier total.
     #[must_use]
     pub fn since(&self, before: &Self) -> Self {
         Self {
--- a/crates/jaypin_router/src/request.rs
+++ b/crates/jaypin_router/src/request.rs
@@ -1,4 +1,4 @@
-//! A request on its way through a host.
+//! A request and its states in a host.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,60 +7,61 @@
 
 use crate::{BootTime, Rank, RequestNumber, Route};
 
-/// What the decisions are told of a request that was read whole.
+/// A request that was read whole, as input for decisions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// Number in this run.
+    /// Number of the request in this run.
     pub number: RequestNumber,
-    /// Host name that the caller asks for.
+    /// Host name that the caller requests.
     pub host: String,
     /// Path without the query.
     pub path: String,
     /// The caller's credential.
     pub credential: Option<String>,
-    /// Tokens of the prompt and most tokens of the answer, as the caller declares them.
+    /// Tokens of the prompt and greatest number of tokens of the answer, as the caller declares
+    /// them.
     pub tokens: Option<(u32, u32)>,
-    /// Tokens of the answer, as the caller expects them.
+    /// Tokens of the answer that the caller expects.
     pub expected_answer: Option<u32>,
-    /// How long the caller waits.
+    /// Time for which the caller waits for the answer.
     pub timeout: Option<Duration>,
     /// Fingerprint of path, caller and body.
     pub fingerprint: u64,
-    /// When its header was read.
+    /// Time at which its header was read.
     pub received_at: Instant,
-    /// Now, on the clock that counts suspended time.
+    /// The current time, on the clock that counts suspended time.
     pub boot_time: BootTime,
 }
 
 /// How one call to a backend server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer was passed on.
+    /// The whole answer was passed on to the caller.
     Complete,
-    /// No connection could be made; no byte of the request left.
+    /// No connection could be made; no byte of the request was sent.
     Unreached,
-    /// Nothing was sent, since the backend server had said meanwhile that it wants nothing.
+    /// Nothing was sent, since the backend server had meanwhile stated that it wants no requests.
     Withheld,
-    /// It answered that it did not run the request.
+    /// The backend server answered that it did not run the request.
     NotRun,
-    /// It answered that another backend server has its address; nothing was run.
+    /// The answer stated that another backend server has the address; nothing was run.
     Replaced,
-    /// It answered with a failure of its own.
+    /// The backend server answered with a failure of its own.
     Failed,
-    /// The connection broke or the answer made no sense; it may have run.
+    /// The connection broke or the answer was malformed; the request may have run.
     Lost,
-    /// The connection broke and nothing listens there any more.
+    /// The connection broke and nothing listens at the address any more.
     Died,
-    /// No answer came for too long; the call was given up.
+    /// No answer arrived for too long; the call was given up.
     Silent,
-    /// The caller left.
+    /// The caller disconnected.
     Abandoned,
     /// The time for the answer ran out.
     TimedOut,
 }
 
 impl AttemptOutcome {
-    /// Whether the backend server surely did not run the request.
+    /// Returns whether the backend server definitely did not run the request.
     #[must_use]
     pub fn is_definitely_not_run(self) -> bool {
         matches!(
@@ -69,13 +70,13 @@
         )
     }
 
-    /// Whether nothing is left to be decided.
+    /// Returns whether nothing is left to be decided.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Complete | Self::Abandoned)
     }
 
-    /// The outcome in one word.
+    /// Returns the outcome as one word.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -94,10 +95,10 @@
     }
 }
 
-/// What is known of an admitted request, whatever its state.
+/// What is known of an admitted request in any state.
 #[derive(Debug, Clone)]
 pub struct Admitted {
-    /// Number in this run.
+    /// Number of the request in this run.
     pub number: RequestNumber,
     /// Its route.
     pub route: Arc<Route>,
@@ -105,34 +106,34 @@
     pub service: ServiceId,
     /// Its client account.
     pub account: Option<AccountId>,
-    /// How urgent it is.
+    /// Its rank.
     pub rank: Rank,
-    /// Tokens of the prompt.
+    /// Tokens of its prompt.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Greatest number of tokens of its answer.
     pub answer_tokens: u32,
-    /// Events that its answer is expected to have, where it is a stream of an engine.
+    /// Number of events that its answer is expected to have, if it is a stream of an engine.
     pub expected_events: Option<f64>,
-    /// Time that it holds a slot, relative to what is usual; 1 is usual.
+    /// Time for which it holds a slot, relative to the baseline of 1.
     pub size: f64,
-    /// Quota units that it takes.
+    /// Quota units that it needs.
     pub units: f64,
     /// Fingerprint of path, caller and body.
     pub fingerprint: u64,
-    /// When it arrived.
+    /// Time at which it arrived.
     pub arrived_at: Instant,
-    /// When the whole answer is due.
+    /// Time at which the whole answer is due.
     pub deadline: Instant,
-    /// Backend servers that it was sent to, also where it surely did not run.
+    /// Backend servers that it was sent to, including those that definitely did not run it.
     pub attempted: Vec<BackendId>,
-    /// Backend servers on which it may have run.
+    /// Number of backend servers that may have run it.
     pub possible_runs: u32,
-    /// Whether part of its answer was passed on.
+    /// Whether part of its answer was passed on to the caller.
     pub is_started: bool,
 }
 
 impl Admitted {
-    /// Who asks, and how urgently.
+    /// Returns its account and rank.
     #[must_use]
     pub fn requester(&self) -> Requester {
         Requester {
@@ -142,41 +143,41 @@
     }
 }
 
-/// Who asks, and how urgently; for logs.
+/// Account and rank of a request, for logs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Requester {
-    /// The client account.
+    /// The client account; absent if the caller needs none.
     pub account: Option<AccountId>,
     /// The rank.
     pub rank: Rank,
 }
 
-/// State: waiting for a place.
+/// State of a request that waits for a backend server.
 #[derive(Debug)]
 pub struct Waiting {
-    /// When waiting ends with a refusal.
+    /// Time at which waiting ends with a refusal.
     pub until: Instant,
 }
 
-/// State: sent to a backend server.
+/// State of a request that was sent to a backend server.
 #[derive(Debug)]
 pub struct Sent {
     /// The backend server.
     pub backend: BackendId,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub at: Instant,
-    /// Prompt tokens that the backend server had to read before this one's.
+    /// Prompt tokens that the backend server had to read first.
     pub tokens_ahead: u32,
-    /// Whether a slot was free, by what was known.
+    /// Whether a slot was free there, as far as this host knew.
     pub had_slot: bool,
-    /// When its first event or answer came.
+    /// Time at which its first event or its answer arrived.
     pub first_event_at: Option<Instant>,
 }
 
-/// A request in one state of its life; sending consumes the waiting one.
+/// A request in one of its states. Sending it consumes the waiting one.
 #[derive(Debug)]
 pub struct Request<S> {
-    /// What is known of it.
+    /// What is known of it in any state.
     pub admitted: Admitted,
     /// The state.
     pub state: S,
@@ -194,7 +195,7 @@
 }
 
 impl Request<Sent> {
-    /// Takes the request back after a call that did not succeed.
+    /// Makes the request wait again after a call that did not succeed.
     pub fn requeue(self, until: Instant) -> Request<Waiting> {
         Request {
             admitted: self.admitted,
--- a/crates/jaypin_router/src/resend_budget.rs
+++ b/crates/jaypin_router/src/resend_budget.rs
@@ -1,14 +1,14 @@
-//! How many requests of a service may be sent a second time.
+//! Limit on the requests of a service that may be sent a second time.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// A part of the fleet's budget for sends beyond the first of each request.
+/// This host's part of the fleet's budget for sends beyond the first of each request.
 ///
-/// Guards against retries that feed on themselves: backend servers that fail or shed get
-/// every request twice, which makes them fail more. Each host keeps to the fleet's ratio
-/// over its own requests and to its part of the fixed allowance, so the sum over all
-/// hosts keeps to the fleet's budget without a message.
+/// The budget keeps retries from amplifying themselves: backend servers that fail or shed load
+/// would get every request twice, which makes them fail more. Each host keeps to the fleet's
+/// ratio over its own requests and to its part of the fixed allowance, so the sum over all hosts
+/// keeps to the fleet's budget without a message.
 #[derive(Debug)]
 pub struct ResendBudget {
     window: Duration,
@@ -19,8 +19,8 @@
 }
 
 impl ResendBudget {
-    /// Starts with a window, the ratio of resends to requests in it, and resends that are
-    /// allowed besides.
+    /// Creates a budget with `ratio` resends per request within `window`, and `allowance` resends
+    /// besides.
     #[must_use]
     pub fn new(window: Duration, ratio: f64, allowance: f64) -> Self {
         Self {
@@ -32,18 +32,18 @@
         }
     }
 
-    /// Changes this host's part of the fixed allowance.
+    /// Sets this host's part of the fixed allowance.
     pub fn set_allowance(&mut self, allowance: f64) {
         self.allowance = allowance;
     }
 
-    /// Counts a request.
+    /// Records a request.
     pub fn record_request(&mut self, now: Instant) {
         self.forget(now);
         self.firsts.push_back(now);
     }
 
-    /// Takes a resend out of the budget, if it has one left.
+    /// Takes a resend from the budget; returns whether one was left.
     pub fn take(&mut self, now: Instant) -> bool {
         self.forget(now);
         let requests = f64::from(u32::try_from(self.firsts.len()).unwrap_or(u32::MAX));
--- a/crates/jaypin_router/src/reserve.rs
+++ b/crates/jaypin_router/src/reserve.rs
@@ -1,20 +1,21 @@
-//! Slots that are kept free for requests more urgent than the one at hand.
+//! Slots that are reserved for requests more urgent than the one at hand.
 //!
-//! The pattern: the fleet is asked for more than it has, for seconds. Whoever comes first
-//! takes the slot that comes free, so urgent requests are refused while deferrable ones
-//! run. Urgent requests alone rarely exceed what comes free, so a few slots are enough
-//! (trunk reservation): one that is kept is taken within milliseconds by the next urgent
-//! request, and while none is asked for nothing is kept.
+//! For seconds at a time, more requests arrive than the fleet can serve. If the first one to
+//! arrive takes the slot that becomes free, urgent requests are refused while deferrable ones
+//! run. Urgent requests alone rarely exceed what becomes free, so a few slots are enough (trunk
+//! reservation): a reserved slot is taken within milliseconds by the next urgent request, and
+//! while no urgent ones arrive, nothing is reserved.
 
 use std::time::Duration;
 
-/// Time for which urgent arrivals are provided for: a host hears of a slot that another
-/// took or freed within some 10 ms, and looks again within three turns of 10 ms.
+/// Time for which urgent arrivals are provided for: a host learns of a slot that another took or
+/// freed within some 10 ms, and rechecks within three turns of 10 ms.
 const COVERED: Duration = Duration::from_millis(50);
-/// Standard deviations of a random number of arrivals besides.
+/// Standard deviations of the random number of arrivals that are provided for besides.
 const SPREAD: f64 = 1.0;
 
-/// Slots to be kept free, where so many more urgent requests a second are asked for.
+/// Returns the number of slots to reserve, where `above_per_second` more urgent requests arrive
+/// per second.
 #[must_use]
 pub fn reserved_slots(above_per_second: f64) -> f64 {
     let arrivals = above_per_second * COVERED.as_secs_f64();
--- a/crates/jaypin_router/src/route_table.rs
+++ b/crates/jaypin_router/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Look-ups in a configuration: which route, which account.
+//! Lookups in a configuration: routes, services and accounts.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::{Account, Configuration, Route, Service};
 
-/// A configuration with its look-ups; built once a version.
+/// A configuration with its lookup tables; built once per version.
 #[derive(Debug)]
 pub struct RouteTable {
     configuration: Configuration,
@@ -21,14 +21,14 @@
 /// Why a configuration does not allow a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unrouted {
-    /// No route of the host name begins the path.
+    /// No route of the host name has a prefix of the path.
     NoRoute,
-    /// The route needs a credential, and this is none that is known.
+    /// The route needs a credential, and the given one is missing or unknown.
     UnknownCredential,
 }
 
 impl Unrouted {
-    /// The reason in one word.
+    /// Returns the reason as one word.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -39,10 +39,11 @@
 }
 
 impl RouteTable {
-    /// Builds the look-ups.
+    /// Builds the lookup tables.
     #[must_use]
     pub fn new(mut configuration: Configuration) -> Self {
-        // All limits are parts of the aim: without one, every request would be too late.
+        // All limits are fractions of the latency target: with a target of zero, every request
+        // would be too late.
         for route in configuration
             .routes
             .iter_mut()
@@ -81,16 +82,16 @@
         }
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     #[must_use]
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Finds the route whose prefix is the longest that begins the path.
+    /// Returns the route with the longest prefix of the path.
     ///
-    /// Prefixes end with a slash, so only the path's own slashes have to be tried: a
-    /// look-up costs a few hashes however many routes there are.
+    /// Prefixes end with a slash, so only the path's own slashes have to be tried: a lookup costs
+    /// a few hashes however many routes there are.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let of_host = self.routes.get(&host.to_ascii_lowercase())?;
@@ -99,30 +100,30 @@
         prefixes.find_map(|prefix| of_host.get(prefix))
     }
 
-    /// Finds a service.
+    /// Returns a service by its name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         let place = self.services.get(name)?;
         self.configuration.services.get(*place)
     }
 
-    /// The shortest aim of all routes to a service.
+    /// Returns the shortest latency target of all routes to a service.
     #[must_use]
     pub fn shortest_latency_target(&self, service: &str) -> Option<Duration> {
         self.least_aims.get(service).copied()
     }
 
-    /// Finds an account by a credential.
+    /// Returns the account that has a credential.
     #[must_use]
     pub fn account(&self, credential: &str) -> Option<&Account> {
         let place = self.credentials.get(credential)?;
         self.configuration.accounts.get(*place)
     }
 
-    /// Finds route and account of a request.
+    /// Returns the route and the account of a request.
     ///
     /// # Errors
-    /// Says what the configuration does not allow.
+    /// Returns what the configuration does not allow.
     pub fn admit(
         &self,
         host: &str,
--- a/crates/jaypin_router/src/signals.rs
+++ b/crates/jaypin_router/src/signals.rs
@@ -1,28 +1,29 @@
-//! What backend servers say of themselves in the headers of their answers.
+//! What backend servers state about themselves in the headers of their answers.
 //!
-//! An answer is nearer to the truth than the store, so its signals go before what the store
-//! states. They belong to one process of a backend server and hold until that process takes
-//! them back: that a host has had no answer since says nothing.
+//! An answer is more recent than the store, so its signals take precedence over what the store
+//! states. They belong to one process of a backend server and hold until that process withdraws
+//! them; the lack of answers since then means nothing.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::{BackendKey, BackendRecord, SignalReport, backend_key};
 
-/// Time by which a peer's word has to be newer than the same one that is known: each report
-/// that passes it on makes it look a little younger.
+/// Time by which a peer's report of an unchanged signal has to be newer than the known one: each
+/// report that passes a signal on makes it look a little younger.
 const RELAY_MARGIN: Duration = Duration::from_millis(100);
-/// Time for which a signal that was taken back is told, so that no host that was cut off for
-/// a while brings it back, and for which a process that left is remembered: copies of the
-/// store are seconds old.
+/// Time for which a withdrawn signal is reported, so that no host that was cut off for a while
+/// brings it back, and for which a process that left is remembered: copies of the store are
+/// seconds old.
 const KEPT_FOR: Duration = Duration::from_mins(1);
 
-/// What the header of one answer says of the backend server that gave it.
+/// What the header of one answer states about the backend server that gave it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct BackendSignals {
-    /// Requests a second that it takes from all hosts together; without it as many as it can.
+    /// Requests per second that it accepts from all hosts together; absent if it accepts as many
+    /// as it can.
     pub rate_limit: Option<f64>,
-    /// Whether it finishes what it has and ends. Its process never takes that back.
+    /// Whether it finishes the requests that it has and exits. Its process never withdraws that.
     pub is_leaving: bool,
 }
 
@@ -37,21 +38,22 @@
 pub struct SignalTable {
     heard: HashMap<BackendKey, HeardSignals>,
     backoffs: HashMap<BackendKey, Backoff>,
-    /// Processes that stated to the store that they leave, and when they were heard.
+    /// Processes that stated to the store that they are leaving, and when this host learned of
+    /// it.
     left: HashMap<BackendKey, (u64, Instant)>,
 }
 
-/// Signals, and which process gave them when.
+/// Signals, with the process that gave them and the time.
 #[derive(Debug, Clone, Copy)]
 struct HeardSignals {
     signals: BackendSignals,
     /// Start of the backend server's process, as it states it.
     started: u64,
-    /// When they were heard.
+    /// Time at which they were received.
     at: Instant,
 }
 
-/// A time for which a process of a backend server wants nothing from this host.
+/// A time until which a process of a backend server wants no requests from this host.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
     started: u64,
@@ -59,11 +61,11 @@
 }
 
 impl SignalTable {
-    /// Takes the signals of an answer to a request that was sent at some time; says whether
+    /// Records the signals of an answer to a request that was sent at `sent_at`; returns whether
     /// they differ from those that were known.
     ///
-    /// An answer without a limit takes it back only if its request was sent after the limit
-    /// was heard: answers on different connections overtake each other.
+    /// An answer without a limit withdraws the limit only if its request was sent after the limit
+    /// was received: answers on different connections overtake each other.
     pub fn heard(
         &mut self,
         record: &BackendRecord,
@@ -91,8 +93,8 @@
         before != heard.signals
     }
 
-    /// Takes a time for which a backend server wants nothing from this host. A shorter one
-    /// that is asked for meanwhile changes nothing.
+    /// Records a time for which a backend server wants no requests from this host. A shorter one
+    /// that is requested meanwhile changes nothing.
     pub fn record_backoff(&mut self, record: &BackendRecord, backoff: Duration, now: Instant) {
         let Some(until) = now.checked_add(backoff) else {
             return;
@@ -105,16 +107,16 @@
         self.backoffs.insert(backend_key(&record.id), backoff);
     }
 
-    /// When a backend server's present process may be sent requests again, if it asked this
-    /// host to back off.
+    /// Returns when a backend server's current process may be sent requests again, if it asked
+    /// this host to back off.
     #[must_use]
     pub fn backoff_until(&self, record: &BackendRecord) -> Option<Instant> {
         let backoff = self.backoffs.get(&backend_key(&record.id))?;
         (backoff.started == record.started).then_some(backoff.until)
     }
 
-    /// Takes what a peer has heard, unless something newer is known; says whether it differs
-    /// from what was known.
+    /// Applies a peer's report unless something newer is known; returns whether it differs from
+    /// what was known.
     pub fn apply_peer_report(&mut self, told: &SignalReport, now: Instant) -> bool {
         let Some(at) = now.checked_sub(told.age) else {
             return false;
@@ -146,7 +148,7 @@
         known.is_none_or(|it| it.signals != heard.signals || it.started != heard.started)
     }
 
-    /// The signals of a backend server's present process.
+    /// Returns the signals of a backend server's current process.
     #[must_use]
     pub fn of(&self, record: &BackendRecord) -> BackendSignals {
         let key = backend_key(&record.id);
@@ -158,41 +160,42 @@
         signals
     }
 
-    /// Keeps that a process stated to the store that it leaves.
+    /// Records that a process stated to the store that it is leaving.
     ///
-    /// Guards against a store that comes back from an older copy, in which it is ready.
+    /// The store may come back from an older copy, in which the process is still ready.
     pub fn record_leaving(&mut self, record: &BackendRecord, now: Instant) {
         let key = backend_key(&record.id);
         self.left.insert(key, (record.started, now));
     }
 
-    /// Whether nothing was heard that still matters.
+    /// Returns whether nothing is known that still matters.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.heard.is_empty() && self.backoffs.is_empty() && self.left.is_empty()
     }
 
-    /// Whether a backend server states a rate limit.
+    /// Returns whether any backend server states a rate limit.
     #[must_use]
     pub fn has_limits(&self) -> bool {
         let mut heard = self.heard.values();
         heard.any(|it| it.signals.rate_limit.is_some())
     }
 
-    /// What peers should know of a backend server.
+    /// Returns what peers should know of a backend server.
     #[must_use]
     pub fn report_of(&self, key: BackendKey, now: Instant) -> Option<SignalReport> {
         let heard = self.heard.get(&key)?;
         Some(heard.report(key, now))
     }
 
-    /// What peers should know of all backend servers.
+    /// Iterates over what peers should know of all backend servers.
     pub fn reports(&self, now: Instant) -> impl Iterator<Item = SignalReport> {
         let all = self.heard.iter();
         all.map(move |(key, heard)| heard.report(*key, now))
     }
 
-    /// Forgets what was taken back long ago, or was said by backend servers that are gone.
+    /// Removes signals that were withdrawn long ago, and those of backend servers that no longer
+    /// exist.
     pub fn forget_old(&mut self, is_known: impl Fn(BackendKey) -> bool, now: Instant) {
         self.backoffs.retain(|_, backoff| now < backoff.until);
         let is_old = |at: Instant| now.saturating_duration_since(at) >= KEPT_FOR;
--- a/crates/jaypin_router/src/size.rs
+++ b/crates/jaypin_router/src/size.rs
@@ -1,8 +1,8 @@
-//! How long requests hold their slots, against each other.
+//! Relative times for which requests hold their slots.
 //!
-//! The pattern: answers differ a hundredfold in length, the longest tenth takes more than
-//! half of all slot time, and the fleet is asked for more than it has. Whoever refuses at
-//! random then refuses many short requests for each long one that it serves.
+//! Answers differ a hundredfold in length, and the longest tenth takes more than half of all slot
+//! time. When more requests arrive than the fleet can serve, refusing at random would refuse many
+//! short requests for each long one that is served.
 
 use std::collections::HashMap;
 
@@ -10,10 +10,10 @@
 
 use crate::Rank;
 
-/// Prompt tokens that take as long as one token of an answer: engines read prompts at some
-/// sixty tokens a millisecond and make a token in some three and a half.
+/// Number of prompt tokens that take as long as one token of an answer: engines read prompts at
+/// some sixty tokens per millisecond and make a token in some three and a half milliseconds.
 const PROMPT_TOKENS_PER_STEP: f64 = 200.0;
-/// Weight of one request in the means: the last fifty count.
+/// Weight of one request in the moving averages: about the last fifty count.
 const MEAN_WEIGHT: f64 = 0.02;
 
 /// Expected sizes of requests, as means by service and by rank within it.
@@ -24,10 +24,10 @@
 }
 
 impl Sizes {
-    /// Takes a request in and gives its size relative to what is usual, 1 being usual.
+    /// Records a request and returns its size relative to the baseline, which counts as 1.
     ///
-    /// Usual is the mean of its rank, or of the service where that is more: a short kind of
-    /// request is not penalized for being twice as short as the next, and a rank whose
+    /// The baseline is the mean of its rank, or that of the service where it is greater: a short
+    /// kind of request is not penalized for being twice as short as the next, and a rank whose
     /// requests are all long is not refused before a lower one.
     pub fn relative(
         &mut self,
--- a/crates/jaypin_router/src/throttle.rs
+++ b/crates/jaypin_router/src/throttle.rs
@@ -1,27 +1,28 @@
-//! How hosts share the rate that a backend server takes from all of them together.
+//! How hosts share the rate limit that a backend server states for all of them together.
 //!
-//! The pattern: a few requests a second for a hundred hosts. An equal part for each would be
-//! one request a minute, and a hundred of them may come at once. So only a few hosts send, as
-//! many as have at least one request a second each. Which ones follows from their names, and
-//! each spaces its requests evenly, so the sum holds without a message a request.
+//! The limit may be a few requests per second for a hundred hosts. An equal part for each would
+//! be one request a minute, and a hundred of them may come at once. So only a few hosts send, as
+//! many as get at least one request per second each. Which ones follows from their names, and
+//! each spaces its requests evenly, so the sum keeps to the limit without a message per request.
 
 use std::time::{Duration, Instant};
 
-/// Least rate that is used, in requests a second: a backend server that gets nothing can't
-/// say that it takes more again.
+/// Smallest rate that is used, in requests per second: a backend server that gets no requests
+/// can't state that it accepts more again.
 const LEAST_RATE: f64 = 0.1;
 
 /// Spaces one host's requests to one backend server.
 #[derive(Debug)]
 pub struct Throttle {
-    /// Pause between two requests; without it this host sends none.
+    /// Pause between two requests; without one, this host sends none.
     pause: Option<Duration>,
-    /// When the pause began: at the last request, or when this host was given a part.
+    /// Start of the pause: the last request, or the time at which this host was given a part of
+    /// the rate.
     since: Instant,
 }
 
 impl Throttle {
-    /// Starts with no part of the rate.
+    /// Creates a throttle with no part of the rate.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Sets the pause. A host that had no part before begins with a whole pause, so that it
-    /// and the host that it follows don't both send.
+    /// Sets the pause. A host that had no part of the rate before begins with a whole pause, so
+    /// that it and the host that it follows don't both send.
     pub fn set_pause(&mut self, pause: Option<Duration>, now: Instant) {
         if self.pause.is_none() {
             self.since = now;
@@ -39,21 +40,21 @@
         self.pause = pause;
     }
 
-    /// Whether a request may be sent.
+    /// Returns whether a request may be sent.
     #[must_use]
     pub fn allows(&self, now: Instant) -> bool {
         let waited = now.saturating_duration_since(self.since);
         self.pause.is_some_and(|pause| waited >= pause)
     }
 
-    /// Counts a request that is sent.
+    /// Records a request that is sent.
     pub fn sent(&mut self, now: Instant) {
         self.since = now;
     }
 }
 
-/// Pause between two requests of the host at a place in the order of hosts; nothing where it
-/// has no part of the rate.
+/// Returns the pause between two requests of the host at a position in the order of hosts;
+/// nothing if it has no part of the rate.
 #[must_use]
 pub fn pause_at(place: usize, hosts: usize, rate: f64) -> Option<Duration> {
     let rate = rate.max(LEAST_RATE);
--- a/crates/jaypin_router/src/view.rs
+++ b/crates/jaypin_router/src/view.rs
@@ -1,11 +1,11 @@
-//! Which backend servers a host chooses among, and which hosts have to hear of their load.
+//! Which backend servers a host uses, and which hosts receive reports of their load.
 //!
-//! The pattern: hundreds of hosts before a hundred engines. None can hear what all others
-//! have running, and groups of hosts that share the engines out differ in room by a third,
-//! and have to agree on who has which. So each host has a view of its own: a dozen or two
-//! engines, drawn by hash from its name and theirs alone. Subsets overlap, so what is too much
-//! for one host's engines spills over to those of others, and two hosts need no agreement:
-//! which engines another host uses follows from its name.
+//! With hundreds of hosts and a hundred engines, no host can receive the load of all others.
+//! Groups of hosts that divide the engines among them differ in free capacity by a third, and
+//! have to agree on who has which. So each host uses a subset of its own: a dozen or two engines,
+//! drawn by hash from its name and theirs alone. Subsets overlap, so load that is too much for
+//! one host's engines moves on to those of others, and two hosts need no agreement: which engines
+//! another host uses follows from its name.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,34 +13,34 @@
 use jaypin_core::{BackendId, HostId, ServiceId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Hosts in a fleet of which each uses all backend servers.
+/// Greatest number of hosts in a fleet of which each uses all backend servers.
 pub const SMALL_FLEET: usize = 40;
-/// Hosts that use one backend server in a larger fleet, on the average: each of them hears
-/// of each request that begins or ends there.
+/// Number of hosts that use one backend server in a larger fleet, on average: each of them
+/// receives a report of each request that begins or ends there.
 const HOSTS_PER_BACKEND: usize = 20;
-/// Backend servers in a view at least, where there are as many.
+/// Smallest number of backend servers in a subset, where there are as many.
 const LEAST_BACKENDS: usize = 4;
-/// Hosts that may hear of each request at a backend server; a service with so few backend
-/// servers that more would have to is told within a cell only.
+/// Greatest number of hosts that receive a report of each request at a backend server. For a
+/// service with so few backend servers that more would have to, reports stay within a cell.
 const MOST_HEARERS: usize = 48;
-/// Backend servers by which a sender takes another host's view for larger than it is:
-/// hosts count hosts and backend servers differently for a moment.
+/// Number of backend servers by which a sender assumes another host's subset to be larger than it
+/// is: hosts count hosts and backend servers differently for a moment.
 const MARGIN: usize = 1;
 
 /// Which backend servers of a service a host uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubsetKind {
-    /// All, and all hosts hear of each other's requests there.
+    /// All of them, and all hosts receive reports of each other's requests there.
     All,
-    /// So many of them.
+    /// A subset of this size.
     Subset(usize),
-    /// All, and only hosts of one cell hear of each other's requests: there are too few
-    /// backend servers for all these hosts.
+    /// All of them, and only hosts of one cell receive reports of each other's requests: there
+    /// are too few backend servers for all these hosts.
     AllWithinCell,
 }
 
 impl SubsetKind {
-    /// The kind that fits so many hosts and backend servers.
+    /// Returns the kind that fits a number of hosts and backend servers.
     #[must_use]
     pub fn of(hosts: usize, backends: usize) -> Self {
         if hosts <= SMALL_FLEET {
@@ -56,26 +56,26 @@
     }
 }
 
-/// The views of one host, by service.
+/// The backend subsets of one host, by service.
 #[derive(Debug, Default)]
 pub struct BackendSubsets {
     of_service: HashMap<ServiceId, View>,
     is_current: bool,
 }
 
-/// The view of one service.
+/// The backend subset of one service.
 #[derive(Debug)]
 struct View {
     kind: SubsetKind,
-    /// What this host uses.
+    /// Ids of the backend servers that this host uses.
     ours: Vec<BackendId>,
     is_ours: HashSet<BackendId>,
-    /// Part of the service's backend servers.
+    /// Fraction of the service's backend servers that this host uses.
     part: f64,
     others: Vec<OtherView>,
 }
 
-/// Another host's view of a service.
+/// Another host's subset of a service.
 #[derive(Debug)]
 struct OtherView {
     address: SocketAddr,
@@ -85,18 +85,19 @@
 }
 
 impl BackendSubsets {
-    /// Hosts or backend servers changed.
+    /// Marks the subsets as outdated, after hosts or backend servers have changed.
     pub fn invalidate(&mut self) {
         self.is_current = false;
     }
 
-    /// Whether hosts and backend servers are the same as when it was derived.
+    /// Returns whether hosts and backend servers have not changed since the subsets were
+    /// computed.
     #[must_use]
     pub fn is_current(&self) -> bool {
         self.is_current
     }
 
-    /// Derives the views anew.
+    /// Computes the subsets anew.
     pub fn recompute(
         &mut self,
         own: &HostId,
@@ -111,36 +112,36 @@
         self.is_current = true;
     }
 
-    /// What this host uses of a service.
+    /// Returns the backend servers of a service that this host uses.
     #[must_use]
     pub fn own_subset(&self, service: &str) -> &[BackendId] {
         let view = self.of_service.get(service);
         view.map_or(&[], |view| &view.ours)
     }
 
-    /// Whether this host uses a backend server.
+    /// Returns whether this host uses a backend server.
     #[must_use]
     pub fn contains(&self, service: &str, backend: &str) -> bool {
         let view = self.of_service.get(service);
         view.is_some_and(|view| view.is_ours.contains(backend))
     }
 
-    /// Which part of a service's backend servers this host uses.
+    /// Returns the fraction of a service's backend servers that this host uses.
     #[must_use]
     pub fn fraction(&self, service: &str) -> f64 {
         let view = self.of_service.get(service);
         view.map_or(1.0, |view| view.part)
     }
 
-    /// Which kind of view this host has of a service.
+    /// Returns the kind of subset that this host has of a service.
     #[must_use]
     pub fn kind(&self, service: &str) -> SubsetKind {
         let view = self.of_service.get(service);
         view.map_or(SubsetKind::All, |view| view.kind)
     }
 
-    /// Where the hosts take reports that use a backend server too; nothing for a service of
-    /// which only the own cell hears.
+    /// Returns the addresses at which the hosts that also use a backend server receive reports;
+    /// nothing for a service whose reports stay within a cell.
     #[must_use]
     pub fn peers_using(&self, service: &str, backend: &str) -> Option<Vec<SocketAddr>> {
         let view = self.of_service.get(service)?;
@@ -188,7 +189,8 @@
     }
 }
 
-/// The least score among the `count` greatest that a host has with some backend servers.
+/// Returns the smallest among the `count` greatest scores that a host has with some backend
+/// servers.
 fn bar(host: u64, backends: &[u64], count: usize) -> u64 {
     if count >= backends.len() {
         return 0;
@@ -198,12 +200,13 @@
     *bar
 }
 
-/// Hash of a host's name or a backend server's id, for [`pair_score`].
+/// Returns the hash of a host's name or a backend server's id, for [`pair_score`].
 pub fn hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Score of a backend server for a host: a host uses those with the greatest scores. The finalizer of `SplitMix64` over both hashes.
+/// Returns the score of a backend server for a host, which uses those with the greatest scores:
+/// the finalizer of `SplitMix64` over both hashes.
 pub fn pair_score(host: u64, backend: u64) -> u64 {
     let mut mixed = host ^ backend.rotate_left(32);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/jaypin_router/src/waiting.rs
+++ b/crates/jaypin_router/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a place.
+//! Requests that wait for a backend server.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -6,7 +6,7 @@
 use crate::request::{Request, Waiting};
 use crate::{Rank, RequestNumber};
 
-/// Waiting requests, the most urgent first, then in order of arrival.
+/// Waiting requests, the most urgent first, and in order of arrival within a rank.
 #[derive(Debug, Default)]
 pub struct WaitingList {
     requests: BTreeMap<Place, Request<Waiting>>,
@@ -20,37 +20,37 @@
         self.requests.insert(place(&request), request);
     }
 
-    /// Takes a request out.
+    /// Removes and returns a request.
     pub fn remove(&mut self, number: RequestNumber) -> Option<Request<Waiting>> {
         let mut places = self.requests.keys();
         let place = *places.find(|place| place.2 == number)?;
         self.requests.remove(&place)
     }
 
-    /// Takes all out, in order.
+    /// Removes and returns all requests, in order.
     pub fn take_all(&mut self) -> Vec<Request<Waiting>> {
         std::mem::take(&mut self.requests).into_values().collect()
     }
 
-    /// When the first of them is over.
+    /// Returns the earliest time at which waiting ends for one of them.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Instant> {
         self.requests.values().map(|it| it.state.until).min()
     }
 
-    /// Rank of the most urgent one.
+    /// Returns the rank of the most urgent one.
     #[must_use]
     pub fn first_rank(&self) -> Option<Rank> {
         self.requests.keys().next().map(|place| place.0)
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no request is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
