--- a/crates/jaypin_router/src/backend.rs
+++ b/crates/jaypin_router/src/backend.rs
@@ -13,23 +13,23 @@
 
 /// Cooldown after the first call that could not reach the backend server; it doubles with each
 /// further one.
-const FIRST_REST: Duration = Duration::from_millis(400);
+const FIRST_COOLDOWN: Duration = Duration::from_millis(400);
 /// Longest cooldown: crashed backend servers are back after some seconds.
-const LONGEST_REST: Duration = Duration::from_secs(3);
+const MAX_COOLDOWN: Duration = Duration::from_secs(3);
 /// Failure rate of calls above which a backend server is put on cooldown. Working services fail a
 /// seventh of some calls on their own; a broken one fails nearly half of them or more.
-const TOO_MANY_FAILURES: f64 = 0.38;
+const MAX_FAILURE_RATE: f64 = 0.38;
 /// Weight of one call in that moving average: about the last ten calls count.
 const FAILURE_WEIGHT: f64 = 0.1;
 /// Cooldown of a backend server whose failure rate is too high.
-const FAILURE_REST: Duration = Duration::from_millis(1_500);
+const FAILURE_COOLDOWN: Duration = Duration::from_millis(1_500);
 /// Failure rate assumed after such a cooldown: one or two further failures start the next one.
-const PART_AFTER_REST: f64 = 0.3;
+const FAILURE_RATE_AFTER_COOLDOWN: f64 = 0.3;
 /// Weight of one request in the moving average of the slot hold time.
-const RESIDENCE_WEIGHT: f64 = 0.05;
+const HOLD_TIME_WEIGHT: f64 = 0.05;
 /// Factor on the estimated time to the first event, and time added to it, after which the first
 /// event is overdue.
-const OVERDUE: (f64, Duration) = (3.0, Duration::from_millis(400));
+const OVERDUE_AFTER: (f64, Duration) = (3.0, Duration::from_millis(400));
 
 /// Whether a backend server accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -74,19 +74,19 @@
     /// How fast it produces the events of a stream.
     pub event_rate: EventRate,
     /// Load that the peers have there.
-    peers: PeersThere,
+    peer_load: PeerLoad,
     calls: BTreeMap<RequestNumber, Call>,
     /// Totals of what this host has learned in its run, which it reports to its peers.
     totals: BackendSamples,
     /// Mean time for which requests hold their slots; absent until one has ended.
-    residence: Option<Duration>,
-    failures: f64,
-    rest_until: Option<Instant>,
-    rests: u32,
+    hold_time: Option<Duration>,
+    failure_rate: f64,
+    cooldown_until: Option<Instant>,
+    cooldowns: u32,
     /// Time until which it wants no requests from this host, by its own answer.
     backoff_until: Option<Instant>,
     /// Whether an answer said that its process is leaving.
-    has_said_it_leaves: bool,
+    is_leaving: bool,
     /// Spacing of this host's requests, where the backend server states a rate limit.
     throttle: Option<Throttle>,
 }
@@ -98,15 +98,21 @@
 /// follows from the prefill rate; without it, a prompt would count as unread until its answer
 /// ends.
 #[derive(Debug, Default)]
-struct PeersThere {
+struct PeerLoad {
     running: u32,
     unread_tokens: f64,
     at: Option<Instant>,
 }
 
-impl PeersThere {
-    fn take(&mut self, load: BackendLoad, begun_tokens: u32, pace: PrefillRate, now: Instant) {
-        let left = f64::from(self.unread_tokens(pace, now)) + f64::from(begun_tokens);
+impl PeerLoad {
+    fn update(
+        &mut self,
+        load: BackendLoad,
+        new_prompt_tokens: u32,
+        pace: PrefillRate,
+        now: Instant,
+    ) {
+        let left = f64::from(self.unread_tokens(pace, now)) + f64::from(new_prompt_tokens);
         self.unread_tokens = left.min(f64::from(load.unread_tokens));
         self.running = load.running;
         self.at = Some(now);
@@ -123,7 +129,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "such casts keep to the bounds of the type"
+    reason = "such casts saturate at the bounds of the type"
 )]
 fn whole_tokens(tokens: f64) -> u32 {
     tokens as u32
@@ -146,15 +152,15 @@
             key,
             prefill_rate: PrefillRate::default(),
             event_rate: EventRate::default(),
-            peers: PeersThere::default(),
+            peer_load: PeerLoad::default(),
             calls: BTreeMap::new(),
             totals: BackendSamples::none(key),
-            residence: None,
-            failures: 0.0,
-            rest_until: None,
-            rests: 0,
+            hold_time: None,
+            failure_rate: 0.0,
+            cooldown_until: None,
+            cooldowns: 0,
             backoff_until: None,
-            has_said_it_leaves: false,
+            is_leaving: false,
             throttle: None,
         }
     }
@@ -162,20 +168,21 @@
     /// Returns the number of requests that run there, from this host and its peers.
     #[must_use]
     pub fn running(&self) -> u32 {
-        u32::try_from(self.calls.len()).unwrap_or(u32::MAX) + self.peers.running
+        u32::try_from(self.calls.len()).unwrap_or(u32::MAX) + self.peer_load.running
     }
 
     /// Returns the number of prompt tokens that it has to read before those of a new request.
     #[must_use]
     pub fn unread_tokens(&self, now: Instant) -> u32 {
         let own = self.own_load().unread_tokens;
-        own.saturating_add(self.peers.unread_tokens(self.prefill_rate, now))
+        own.saturating_add(self.peer_load.unread_tokens(self.prefill_rate, now))
     }
 
-    /// Sets the load that the peers have there now; `begun_tokens` is the number of prompt tokens
-    /// of the requests that they have begun.
-    pub fn set_peer_load(&mut self, load: BackendLoad, begun_tokens: u32, now: Instant) {
-        self.peers.take(load, begun_tokens, self.prefill_rate, now);
+    /// Sets the load that the peers have there now; `new_prompt_tokens` counts the prompts of the
+    /// requests that they have begun.
+    pub fn set_peer_load(&mut self, load: BackendLoad, new_prompt_tokens: u32, now: Instant) {
+        self.peer_load
+            .update(load, new_prompt_tokens, self.prefill_rate, now);
     }
 
     /// Returns the load that this host has there.
@@ -218,7 +225,7 @@
     /// Returns whether it accepts new requests, by its record and by its own answers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.record.status == BackendStatus::Ready && !self.has_said_it_leaves
+        self.record.status == BackendStatus::Ready && !self.is_leaving
     }
 
     /// Returns whether it was unreachable or failing a moment ago, or a call there has had no
@@ -227,13 +234,13 @@
     #[must_use]
     pub fn is_unhealthy(&self, now: Instant) -> bool {
         let is_overdue = |call: &Call| call.overdue_at.is_some_and(|at| now >= at);
-        self.rest_until.is_some_and(|until| now < until) || self.calls.values().any(is_overdue)
+        self.cooldown_until.is_some_and(|until| now < until) || self.calls.values().any(is_overdue)
     }
 
     /// Returns the mean time for which requests hold their slots there.
     #[must_use]
     pub fn hold_time(&self) -> Option<Duration> {
-        self.residence
+        self.hold_time
     }
 
     /// Records a call that is sent, with the estimated time to its first event.
@@ -244,7 +251,7 @@
         estimate: Duration,
         now: Instant,
     ) {
-        let overdue_at = now + estimate.mul_f64(OVERDUE.0) + OVERDUE.1;
+        let overdue_at = now + estimate.mul_f64(OVERDUE_AFTER.0) + OVERDUE_AFTER.1;
         let call = Call {
             tokens,
             sent_at: now,
@@ -283,15 +290,15 @@
         match outcome {
             AttemptOutcome::Complete => {
                 let held = call.map_or(Duration::ZERO, |call| now - call.sent_at);
-                self.learn_residence(held);
+                self.learn_hold_time(held);
                 self.totals.hold_seconds += held.as_secs_f64();
                 self.totals.good += 1;
-                self.rests = 0;
+                self.cooldowns = 0;
                 self.learn_outcome(false, now);
             }
             AttemptOutcome::Unreached | AttemptOutcome::Died | AttemptOutcome::Replaced => {
                 self.totals.bad += 1;
-                self.rest(now);
+                self.start_cooldown(now);
             }
             AttemptOutcome::NotRun
             | AttemptOutcome::Failed
@@ -316,7 +323,7 @@
         }
         if samples.good > 0 {
             let mean = samples.hold_seconds / f64::from(samples.good);
-            self.learn_residence(Duration::from_secs_f64(mean));
+            self.learn_hold_time(Duration::from_secs_f64(mean));
         }
         for _ in 0..samples.good {
             self.learn_outcome(false, now);
@@ -328,7 +335,7 @@
 
     /// Marks it as leaving: from now on it gets no requests, whatever its record states.
     pub fn mark_leaving(&mut self) {
-        self.has_said_it_leaves = true;
+        self.is_leaving = true;
     }
 
     /// Sets the time until which this host sends it no requests.
@@ -359,24 +366,24 @@
 
     /// Starts a cooldown. A process that has exited refuses connections at once and, having no
     /// load, would attract all requests.
-    fn rest(&mut self, now: Instant) {
-        let rest = FIRST_REST * 2_u32.pow(self.rests.min(8));
-        self.rests += 1;
-        self.rest_until = Some(now + rest.min(LONGEST_REST));
+    fn start_cooldown(&mut self, now: Instant) {
+        let cooldown = FIRST_COOLDOWN * 2_u32.pow(self.cooldowns.min(8));
+        self.cooldowns += 1;
+        self.cooldown_until = Some(now + cooldown.min(MAX_COOLDOWN));
     }
 
-    fn learn_residence(&mut self, held: Duration) {
-        let mean = self.residence.unwrap_or(held);
-        let kept = mean.mul_f64(1.0 - RESIDENCE_WEIGHT);
-        self.residence = Some(kept + held.mul_f64(RESIDENCE_WEIGHT));
+    fn learn_hold_time(&mut self, held: Duration) {
+        let mean = self.hold_time.unwrap_or(held);
+        let kept = mean.mul_f64(1.0 - HOLD_TIME_WEIGHT);
+        self.hold_time = Some(kept + held.mul_f64(HOLD_TIME_WEIGHT));
     }
 
     fn learn_outcome(&mut self, failed: bool, now: Instant) {
         let outcome = if failed { 1.0 } else { 0.0 };
-        self.failures += FAILURE_WEIGHT * (outcome - self.failures);
-        if self.failures > TOO_MANY_FAILURES {
-            self.failures = PART_AFTER_REST;
-            self.rest_until = Some(now + FAILURE_REST);
+        self.failure_rate += FAILURE_WEIGHT * (outcome - self.failure_rate);
+        if self.failure_rate > MAX_FAILURE_RATE {
+            self.failure_rate = FAILURE_RATE_AFTER_COOLDOWN;
+            self.cooldown_until = Some(now + FAILURE_COOLDOWN);
         }
     }
 }
--- a/crates/jaypin_router/src/cell.rs
+++ b/crates/jaypin_router/src/cell.rs
@@ -2,20 +2,21 @@
 //!
 //! A host of a large fleet can't report to all others that it is live, what it knows of the store
 //! and what accounts use. Its cell has a few dozen hosts, whatever the size of the fleet. Which
-//! hosts receive the load of which backend server is independent of cells: see [`crate::BackendSubsets`].
+//! hosts receive the load of which backend server is independent of cells: see
+//! [`crate::BackendSubsets`].
 
 /// Number of a cell.
 pub type CellIndex = u32;
 
 /// Greatest number of hosts in a cell, on average: the reports of each go to all of them.
-const MOST_HOSTS: usize = crate::view::SMALL_FLEET;
+const MAX_HOSTS: usize = crate::view::SMALL_FLEET;
 
 /// Returns the number of cells of a fleet. It is a power of two, so that hosts which count the
 /// fleet differently for a moment mostly agree.
 #[must_use]
 pub fn cell_count(hosts: usize) -> u32 {
     let mut count = 1;
-    while hosts > MOST_HOSTS * count as usize {
+    while hosts > MAX_HOSTS * count as usize {
         count *= 2;
     }
     count
--- a/crates/jaypin_router/src/entries.rs
+++ b/crates/jaypin_router/src/entries.rs
@@ -8,14 +8,14 @@
 use crate::{BackendRecord, BackendStatus, StorePoint};
 
 /// Number of reports that contain a change: two of three may be lost.
-const TIMES_TOLD: u32 = 3;
+const REPORTS_PER_CHANGE: u32 = 3;
 /// Greatest number of changes in one report, so that it fits into a datagram; the next reports
 /// contain the others.
-const MOST_TOLD: usize = 24;
+const MAX_CHANGES_PER_REPORT: usize = 24;
 
 /// Number of entries whose points are kept; beyond it, the oldest of the removed ones are
 /// dropped.
-const MOST_POINTS: usize = 4_096;
+const MAX_POINTS: usize = 4_096;
 
 /// A change of an entry, as hosts that watch the store send it to the others.
 #[derive(Debug, Clone, PartialEq)]
@@ -58,7 +58,8 @@
     /// Newest known point of each entry, including removed ones.
     points: BTreeMap<BackendId, StorePoint>,
     digest: u64,
-    news: VecDeque<(EntryChange, u32)>,
+    /// Changes to be sent, each with the number of reports that contained it.
+    unsent: VecDeque<(EntryChange, u32)>,
 }
 
 impl Entries {
@@ -89,8 +90,8 @@
     /// Iterates over the removed entries, each with a point at which it did not exist.
     pub fn removed(&self) -> impl Iterator<Item = (&BackendId, StorePoint)> {
         let points = self.points.iter();
-        let gone = points.filter(|(id, _)| !self.hashes.contains_key(*id));
-        gone.map(|(id, point)| (id, *point))
+        let removed_points = points.filter(|(id, _)| !self.hashes.contains_key(*id));
+        removed_points.map(|(id, point)| (id, *point))
     }
 
     /// Applies a change; returns whether it changed anything.
@@ -122,12 +123,12 @@
     }
 
     fn forget_oldest(&mut self) {
-        if self.points.len() <= MOST_POINTS {
+        if self.points.len() <= MAX_POINTS {
             return;
         }
-        let gone = self.points.iter();
-        let gone = gone.filter(|(id, _)| !self.hashes.contains_key(*id));
-        let oldest = gone.min_by_key(|(_, point)| **point);
+        let removed_points = self.points.iter();
+        let removed_points = removed_points.filter(|(id, _)| !self.hashes.contains_key(*id));
+        let oldest = removed_points.min_by_key(|(_, point)| **point);
         if let Some(id) = oldest.map(|(id, _)| id.clone()) {
             self.points.remove(&id);
         }
@@ -135,25 +136,25 @@
 
     /// Queues a change for the next reports, in place of an earlier one of the same entry.
     pub fn queue(&mut self, change: EntryChange) {
-        self.news.retain(|(known, _)| known.id() != change.id());
-        self.news.push_front((change, 0));
+        self.unsent.retain(|(known, _)| known.id() != change.id());
+        self.unsent.push_front((change, 0));
     }
 
     /// Returns the changes for the next report: each is sent once before any is sent again.
     pub fn next_changes(&mut self) -> Vec<EntryChange> {
-        let count = self.news.len().min(MOST_TOLD);
-        let told: Vec<_> = self.news.drain(..count).collect();
-        let news = told.iter().map(|(change, _)| change.clone()).collect();
-        let again = told.into_iter().map(|(change, times)| (change, times + 1));
-        self.news
-            .extend(again.filter(|(_, times)| *times < TIMES_TOLD));
-        news
+        let count = self.unsent.len().min(MAX_CHANGES_PER_REPORT);
+        let sent: Vec<_> = self.unsent.drain(..count).collect();
+        let changes = sent.iter().map(|(change, _)| change.clone()).collect();
+        let again = sent.into_iter().map(|(change, times)| (change, times + 1));
+        self.unsent
+            .extend(again.filter(|(_, times)| *times < REPORTS_PER_CHANGE));
+        changes
     }
 
     /// Returns whether a change has not been sent yet.
     #[must_use]
     pub fn has_unsent(&self) -> bool {
-        self.news.front().is_some_and(|(_, times)| *times == 0)
+        self.unsent.front().is_some_and(|(_, times)| *times == 0)
     }
 }
 
--- a/crates/jaypin_router/src/event_pace.rs
+++ b/crates/jaypin_router/src/event_pace.rs
@@ -12,9 +12,9 @@
 ///
 /// Engines may turn slow for some seconds. Judged by the mean of the last hundred events, they
 /// would get long answers for as long.
-const SLOWED: f64 = 2.0;
+const SLOWDOWN_FACTOR: f64 = 2.0;
 /// Number of events from which on the rate is meaningful.
-const LEAST_EVENTS: f64 = 4.0;
+const MIN_EVENTS: f64 = 4.0;
 
 /// Decayed sums of events and of the seconds that they took.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -27,7 +27,7 @@
     /// Records that `events` events took `seconds`.
     pub fn record(&mut self, events: f64, seconds: f64) {
         let expected = self.seconds_for(events);
-        let has_slowed = expected.is_some_and(|it| seconds >= it * SLOWED);
+        let has_slowed = expected.is_some_and(|it| seconds >= it * SLOWDOWN_FACTOR);
         let keep = if has_slowed {
             (events / self.events).min(1.0)
         } else {
@@ -40,7 +40,7 @@
     /// Returns the seconds that `events` events take, once enough were observed.
     #[must_use]
     pub fn seconds_for(&self, events: f64) -> Option<f64> {
-        let is_known = self.events >= LEAST_EVENTS;
+        let is_known = self.events >= MIN_EVENTS;
         is_known.then(|| events * self.seconds / self.events)
     }
 }
--- a/crates/jaypin_router/src/fleet.rs
+++ b/crates/jaypin_router/src/fleet.rs
@@ -49,7 +49,7 @@
     pub clock: PeerClock,
     earlier_run: Option<Incarnation>,
     sequence: Option<u64>,
-    heard_at: Instant,
+    last_report_at: Instant,
     usage: HashMap<AccountId, f64>,
     asked: HashMap<(ServiceKey, Rank), u32>,
 }
@@ -58,27 +58,27 @@
     /// Returns whether it has sent a report recently.
     #[must_use]
     pub fn is_live(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.heard_at) < PEER_SILENCE
+        now.saturating_duration_since(self.last_report_at) < PEER_SILENCE
     }
 
     fn may_be_cut_off(&self, now: Instant) -> bool {
-        let silence = now.saturating_duration_since(self.heard_at);
+        let silence = now.saturating_duration_since(self.last_report_at);
         (PEER_SILENCE..PEER_EXPIRY).contains(&silence)
     }
 }
 
 /// Counts items as a floating-point number, for divisions.
-fn number_of<T>(items: impl Iterator<Item = T>) -> f64 {
+fn count_of<T>(items: impl Iterator<Item = T>) -> f64 {
     items.map(|_| 1.0).sum()
 }
 
-fn is_recent(at: Instant, now: Instant) -> bool {
+fn is_cell_live(at: Instant, now: Instant) -> bool {
     now.saturating_duration_since(at) < CELL_SILENCE
 }
 
 /// What a report contains that was not known before.
 #[derive(Debug, Default)]
-pub struct News {
+pub struct PeerUpdate {
     /// Quota units used since the previous report.
     pub usage: Vec<(AccountId, f64)>,
     /// Quota levels of accounts that have little left.
@@ -103,34 +103,34 @@
 #[derive(Debug)]
 struct OtherCell {
     callers: Vec<SocketAddr>,
-    heard_at: Instant,
+    last_report_at: Instant,
 }
 
 impl Fleet {
     /// Applies a report. One that was overtaken by a later one changes nothing, and neither does
     /// a short one from a host that has sent no whole one yet.
-    pub fn apply(&mut self, report: Report, now: Instant, boot_time: BootTime) -> News {
+    pub fn apply(&mut self, report: Report, now: Instant, boot_time: BootTime) -> PeerUpdate {
         let Some(whole) = &report.whole else {
             let known = self.runs.get(&report.run);
             let peer = known.and_then(|host| self.peers.get_mut(host));
-            return peer.map_or_else(News::default, |peer| peer.take(report, false, now));
+            return peer.map_or_else(PeerUpdate::default, |peer| peer.apply(report, false, now));
         };
         if let Some(callers) = &whole.cell_callers {
             let other = OtherCell {
                 callers: callers.clone(),
-                heard_at: now,
+                last_report_at: now,
             };
             self.other_cells.insert(whole.cell, other);
-            return News {
+            return PeerUpdate {
                 strikes: whole.crash_counts.clone(),
-                ..News::default()
+                ..PeerUpdate::default()
             };
         }
         let host = whole.host.clone();
         let known = self.peers.get(&host);
         let is_new = known.is_none();
         if known.is_some_and(|peer| peer.earlier_run == Some(report.run)) {
-            return News::default();
+            return PeerUpdate::default();
         }
         if known.is_none_or(|peer| peer.run != report.run) {
             let earlier_run = known.map(|peer| peer.run);
@@ -139,10 +139,10 @@
             self.peers.insert(host.clone(), peer);
         }
         let Some(peer) = self.peers.get_mut(&host) else {
-            return News::default();
+            return PeerUpdate::default();
         };
         peer.clock.record(whole.sent_at, boot_time);
-        peer.take(report, is_new, now)
+        peer.apply(report, is_new, now)
     }
 
     /// Iterates over the live peers.
@@ -164,9 +164,9 @@
 
     /// Iterates over the addresses at which callers may connect in other live cells.
     pub fn other_cell_callers(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
-        let heard = self.other_cells.values();
-        let heard = heard.filter(move |it| is_recent(it.heard_at, now));
-        heard.flat_map(|cell| cell.callers.iter().copied())
+        let cells = self.other_cells.values();
+        let live = cells.filter(move |it| is_cell_live(it.last_report_at, now));
+        live.flat_map(|cell| cell.callers.iter().copied())
     }
 
     /// Iterates over all known peers, live or not.
@@ -176,14 +176,19 @@
 
     /// Returns the fraction of the fleet that is live for this host, itself included.
     ///
-    /// Hosts that were `found` recently but have never sent a report count like those that fell
-    /// silent: a host that has just started has received no reports, and is not the whole fleet.
+    /// Hosts that were `discovered` recently but have never sent a report count like those that
+    /// fell silent: a host that has just started has received no reports, and is not the whole
+    /// fleet.
     #[must_use]
-    pub fn live_fraction<'a>(&self, found: impl Iterator<Item = &'a HostId>, now: Instant) -> f64 {
-        let heard = 1.0 + number_of(self.live_peers(now));
+    pub fn live_fraction<'a>(
+        &self,
+        discovered: impl Iterator<Item = &'a HostId>,
+        now: Instant,
+    ) -> f64 {
+        let live = 1.0 + count_of(self.live_peers(now));
         let silent = self.peers.values().filter(|it| it.may_be_cut_off(now));
-        let unheard = found.filter(|host| !self.peers.contains_key(*host));
-        heard / (heard + number_of(silent) + number_of(unheard))
+        let unknown = discovered.filter(|host| !self.peers.contains_key(*host));
+        live / (live + count_of(silent) + count_of(unknown))
     }
 
     /// Returns the number of live hosts, this one included.
@@ -221,7 +226,7 @@
             clock: PeerClock::default(),
             earlier_run,
             sequence: None,
-            heard_at: now,
+            last_report_at: now,
             usage: HashMap::new(),
             asked: HashMap::new(),
         }
@@ -229,35 +234,35 @@
 
     /// Applies a report of this peer. The totals in its first report say nothing about recent
     /// use: they are only the baseline of later differences.
-    fn take(&mut self, report: Report, is_new: bool, now: Instant) -> News {
+    fn apply(&mut self, report: Report, is_new: bool, now: Instant) -> PeerUpdate {
         if self.sequence.is_some_and(|last| report.sequence <= last) {
-            return News::default();
+            return PeerUpdate::default();
         }
         self.sequence = Some(report.sequence);
-        self.heard_at = now;
+        self.last_report_at = now;
         self.is_ready = report.is_ready;
-        let mut news = News::default();
+        let mut update = PeerUpdate::default();
         if let Some(whole) = report.whole {
             self.may_watch = whole.store.may_watch;
             self.version = whole.store.version;
             self.digest = whole.store.digest;
-            news.strikes = whole.crash_counts;
-            news.low_levels = whole.low_levels;
+            update.strikes = whole.crash_counts;
+            update.low_levels = whole.low_levels;
             for asked in whole.asked {
                 let key = (asked.service, asked.rank);
                 let before = self.asked.insert(key, asked.requests);
                 if let Some(before) = before.or((!is_new).then_some(0)) {
                     let requests = asked.requests.saturating_sub(before);
-                    news.asked.push(ArrivalCount { requests, ..asked });
+                    update.asked.push(ArrivalCount { requests, ..asked });
                 }
             }
         }
         for (account, used) in report.usage {
             let before = self.usage.insert(account.clone(), used);
             if let Some(before) = before.or((!is_new).then_some(0.0)) {
-                news.usage.push((account, used - before));
+                update.usage.push((account, used - before));
             }
         }
-        news
+        update
     }
 }
--- a/crates/jaypin_router/src/floor.rs
+++ b/crates/jaypin_router/src/floor.rs
@@ -11,23 +11,23 @@
 ///
 /// Callers retry once, so a twelfth of the attempts is a sixth of the requests. A greater
 /// fraction is taken from the rank next above, whose requests are worth more.
-const FLOOR_PART: f64 = 0.08;
+const MINIMUM_SHARE: f64 = 0.08;
 /// Requests by which a rank may be behind its minimum share: what was served in a quiet hour is
 /// no reason to refuse in a busy one, and a long shortage gives no claim to precedence for as
 /// long.
-const RANGE: (f64, f64) = (0.0, 3.0);
+const DEFICIT_RANGE: (f64, f64) = (0.0, 3.0);
 
 /// Number of requests by which each rank of each service is behind its minimum share at this
 /// host.
 #[derive(Debug, Default)]
 pub struct MinimumShares {
-    behind: HashMap<(ServiceKey, Rank), f64>,
+    deficits: HashMap<(ServiceKey, Rank), f64>,
 }
 
 impl MinimumShares {
     /// Records a request that arrived.
     pub fn record_arrival(&mut self, service: ServiceKey, rank: Rank) {
-        self.change(service, rank, FLOOR_PART);
+        self.change(service, rank, MINIMUM_SHARE);
     }
 
     /// Records a request that was sent.
@@ -39,13 +39,13 @@
     /// against it.
     #[must_use]
     pub fn is_behind(&self, service: ServiceKey, rank: Rank) -> bool {
-        self.behind
+        self.deficits
             .get(&(service, rank))
             .is_some_and(|it| *it >= 1.0)
     }
 
     fn change(&mut self, service: ServiceKey, rank: Rank, by: f64) {
-        let behind = self.behind.entry((service, rank)).or_default();
-        *behind = (*behind + by).clamp(RANGE.0, RANGE.1);
+        let deficit = self.deficits.entry((service, rank)).or_default();
+        *deficit = (*deficit + by).clamp(DEFICIT_RANGE.0, DEFICIT_RANGE.1);
     }
 }
--- a/crates/jaypin_router/src/limits.rs
+++ b/crates/jaypin_router/src/limits.rs
@@ -11,23 +11,23 @@
 
 /// Fraction of the latency target for which a request may wait for a backend server before it is
 /// refused: long enough for a slot to become free, short enough for the caller to retry in time.
-const HOLD_PART: f64 = 0.12;
+const QUEUE_TIME_FRACTION: f64 = 0.12;
 /// Fraction of the latency target that the estimated time to the first event may take. The rest
 /// covers the error of the estimate, 80 ms for nine requests in ten.
-const ACCEPT_PART: f64 = 0.7;
+const FIRST_EVENT_FRACTION: f64 = 0.7;
 /// Fractions of the latency target for which a request may wait for a slot: for the most urgent
 /// rank, and for the others.
 ///
 /// A queue of one request inside an engine keeps its slots full. A longer one only makes long
 /// prompts late, whose own prefill takes most of their latency target.
-const SLOT_WAIT_PARTS: (f64, f64) = (0.15, 0.1);
+const SLOT_WAIT_FRACTIONS: (f64, f64) = (0.15, 0.1);
 /// Greatest sizes by which the accepted time is divided: for the most urgent rank, and for the
 /// others.
 ///
 /// A request that holds its slot for long is sent only where it hardly waits, so that at full
 /// load the time it would take goes to several short ones. The most urgent rank is divided by
 /// less, or it would be refused before short work that can be deferred.
-const MOST_SIZES: (f64, f64) = (2.0, 6.0);
+const MAX_SIZES: (f64, f64) = (2.0, 6.0);
 /// Size from which a request leaves the last free slots to others of its rank.
 const LONG_SIZE: f64 = 2.0;
 /// Factor on a prompt's own prefill time that is accepted whatever the latency target: a prompt
@@ -35,16 +35,16 @@
 const OWN_PREFILL_FACTOR: f64 = 1.5;
 /// Fraction of the latency target up to which a request is worth sending although its first event
 /// is late, if a slot is free.
-const LATE_PART: f64 = 1.6;
+const LATE_FRACTION: f64 = 1.6;
 /// Number of allowed pauses without an event after which a stream is given up: one event is
 /// missed when the engine reads a long prompt beside it.
 const SILENT_PAUSES: u32 = 3;
 /// The allowed pause, where a route states none.
-const USUAL_PAUSE: Duration = Duration::from_millis(500);
+const DEFAULT_PAUSE: Duration = Duration::from_millis(500);
 
 /// Returns the time for which a request may wait for a backend server.
 pub fn queue_time_limit(route: &Route) -> Duration {
-    route.latency_target.mul_f64(HOLD_PART)
+    route.latency_target.mul_f64(QUEUE_TIME_FRACTION)
 }
 
 /// Returns the time that the first event may take from now; the request's own prefill takes
@@ -55,9 +55,9 @@
         return admitted.deadline.saturating_duration_since(now);
     }
     let spent = now.saturating_duration_since(admitted.arrived_at);
-    let most_size = of_rank(admitted, MOST_SIZES);
-    let part = ACCEPT_PART / admitted.size.clamp(1.0, most_size);
-    let limit = admitted.route.latency_target.mul_f64(part);
+    let max_size = of_rank(admitted, MAX_SIZES);
+    let fraction = FIRST_EVENT_FRACTION / admitted.size.clamp(1.0, max_size);
+    let limit = admitted.route.latency_target.mul_f64(fraction);
     let own = own_prefill.mul_f64(OWN_PREFILL_FACTOR);
     limit.saturating_sub(spent).max(own)
 }
@@ -71,8 +71,8 @@
     if admitted.is_started {
         return Duration::MAX;
     }
-    let part = of_rank(admitted, SLOT_WAIT_PARTS) / admitted.size.max(1.0).powi(2);
-    admitted.route.latency_target.mul_f64(part)
+    let fraction = of_rank(admitted, SLOT_WAIT_FRACTIONS) / admitted.size.max(1.0).powi(2);
+    admitted.route.latency_target.mul_f64(fraction)
 }
 
 /// Returns whether a request holds its slot for so long that others of its rank are preferred
@@ -85,7 +85,7 @@
 /// event, or to an unhealthy backend server that may have recovered.
 pub fn is_last_resort(admitted: &Admitted, choice: &Choice, now: Instant) -> bool {
     let spent = now.saturating_duration_since(admitted.arrived_at);
-    let limit = admitted.route.latency_target.mul_f64(LATE_PART);
+    let limit = admitted.route.latency_target.mul_f64(LATE_FRACTION);
     choice.has_slot && choice.first_event <= limit.saturating_sub(spent)
 }
 
@@ -101,7 +101,7 @@
 /// its engine hangs, or the connection is dead. Callers give up after eight of the pauses that
 /// they allow, so there is time for another backend server.
 pub fn longest_pause(route: &Route) -> Option<Duration> {
-    let allowed = route.longest_pause.unwrap_or(USUAL_PAUSE);
+    let allowed = route.longest_pause.unwrap_or(DEFAULT_PAUSE);
     let may_move = route.repeat == Repeat::ResumableStream;
     may_move.then(|| allowed * SILENT_PAUSES)
 }
--- a/crates/jaypin_router/src/pace.rs
+++ b/crates/jaypin_router/src/pace.rs
@@ -6,9 +6,9 @@
 ///
 /// It is two thirds of what engines of the planned generation state; a slower engine shows after
 /// one or two prompts.
-const FIRST_GUESS_RATE: f64 = 40_000.0;
+const INITIAL_RATE: f64 = 40_000.0;
 /// Weight of that initial rate, in tokens.
-const FIRST_GUESS_TOKENS: f64 = 3_000.0;
+const INITIAL_TOKENS: f64 = 3_000.0;
 /// Number of tokens after which the weight of an observation falls to 1/e: about eight mean
 /// prompts, so that an engine which turns slow is recognized within a second of its usual load.
 const MEMORY_TOKENS: f64 = 50_000.0;
@@ -17,7 +17,7 @@
 pub const CALL_OVERHEAD: Duration = Duration::from_millis(14);
 /// Shortest time in seconds that a prefill counts as, so that a cached prompt gives no infinite
 /// rate.
-const LEAST_SECONDS: f64 = 0.001;
+const MIN_SECONDS: f64 = 0.001;
 
 /// Decayed sums of tokens and of the seconds that they took.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -29,8 +29,8 @@
 impl Default for PrefillRate {
     fn default() -> Self {
         Self {
-            tokens: FIRST_GUESS_TOKENS,
-            seconds: FIRST_GUESS_TOKENS / FIRST_GUESS_RATE,
+            tokens: INITIAL_TOKENS,
+            seconds: INITIAL_TOKENS / INITIAL_RATE,
         }
     }
 }
@@ -40,13 +40,13 @@
     pub fn record(&mut self, tokens: f64, seconds: f64) {
         let keep = (-tokens / MEMORY_TOKENS).exp();
         self.tokens = self.tokens * keep + tokens;
-        self.seconds = self.seconds * keep + seconds.max(LEAST_SECONDS);
+        self.seconds = self.seconds * keep + seconds.max(MIN_SECONDS);
     }
 
     /// Returns the rate in tokens per second.
     #[must_use]
     pub fn rate(&self) -> f64 {
-        self.tokens / self.seconds.max(LEAST_SECONDS)
+        self.tokens / self.seconds.max(MIN_SECONDS)
     }
 
     /// Returns the seconds that the prefill of `tokens` takes.
--- a/crates/jaypin_router/src/peer_loads.rs
+++ b/crates/jaypin_router/src/peer_loads.rs
@@ -11,16 +11,16 @@
 ///
 /// A host reports its load there twice in this time, so one that stays silent has exited or is
 /// cut off, and the loss of one datagram expires nothing.
-const LAPSE: Duration = Duration::from_millis(1_300);
+const LOAD_EXPIRY: Duration = Duration::from_millis(1_300);
 /// Time without a report of its load after which a host is removed.
-const FORGOTTEN: Duration = Duration::from_mins(1);
+const HOST_EXPIRY: Duration = Duration::from_mins(1);
 /// Time after which reported prompts count as read when the host reports again.
-const READ_WITHIN: Duration = Duration::from_millis(150);
+const PROMPT_READ_TIME: Duration = Duration::from_millis(150);
 /// Number of reports of a run within which the host has hardly served anything.
-const FRESH_REPORTS: u64 = 8;
+const FIRST_REPORTS: u64 = 8;
 /// Number of calls up to which the first totals received from a host count as new: they are of
 /// the last seconds, or say little.
-const FEW_CALLS: u32 = 8;
+const MAX_FIRST_CALLS: u32 = 8;
 
 /// Reported load, by host and summed up by backend server.
 #[derive(Debug, Default)]
@@ -33,14 +33,15 @@
 struct HostLoads {
     run: Incarnation,
     earlier_run: Option<Incarnation>,
+    /// Whether reports were received from the beginning of the run.
     is_known_from_start: bool,
-    heard_at: Instant,
-    loads: HashMap<BackendKey, Told>,
+    last_report_at: Instant,
+    loads: HashMap<BackendKey, ReportedLoad>,
     samples: HashMap<BackendKey, BackendSamples>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct ReportedLoad {
     load: BackendLoad,
     sequence: u64,
     at: Instant,
@@ -69,43 +70,43 @@
 impl PeerLoads {
     /// Applies what a report says about backend servers.
     pub fn apply(&mut self, report: &Report, now: Instant) -> LoadUpdate {
-        let mut news = LoadUpdate::default();
+        let mut update = LoadUpdate::default();
         if report.loads.is_empty() && report.samples.is_empty() {
-            return news;
+            return update;
         }
         let known = self.hosts.get(&report.host);
         if known.is_some_and(|it| it.earlier_run == Some(report.run)) {
-            return news;
+            return update;
         }
         if known.is_none_or(|it| it.run != report.run) {
-            self.begin_run(report, now, &mut news);
+            self.begin_run(report, now, &mut update);
         }
         let Some(host) = self.hosts.get_mut(&report.host) else {
-            return news;
+            return update;
         };
-        host.heard_at = now;
+        host.last_report_at = now;
         for load in &report.loads {
             let before = host.loads.get(&load.key);
             if before.is_some_and(|it| it.sequence >= report.sequence) {
                 continue;
             }
-            let told = Told {
+            let reported = ReportedLoad {
                 load: *load,
                 sequence: report.sequence,
                 at: now,
             };
             let change = LoadChange {
                 key: load.key,
-                new_prompt_tokens: told.begun_tokens(before),
+                new_prompt_tokens: reported.new_prompt_tokens(before),
             };
             let before = before.map(|it| it.load);
-            host.loads.insert(load.key, told);
-            change_sum(&mut self.sums, before, Some(*load), change, &mut news);
+            host.loads.insert(load.key, reported);
+            update_sum(&mut self.sums, before, Some(*load), change, &mut update);
         }
         for samples in &report.samples {
-            news.samples.extend(host.learn(*samples));
+            update.samples.extend(host.learn(*samples));
         }
-        news
+        update
     }
 
     /// Returns the load that other hosts have on a backend server.
@@ -117,35 +118,35 @@
 
     /// Removes loads that were not reported again in time.
     pub fn expire(&mut self, now: Instant) -> LoadUpdate {
-        let mut news = LoadUpdate::default();
+        let mut update = LoadUpdate::default();
         let sums = &mut self.sums;
         for host in self.hosts.values_mut() {
-            let lapsed = host
-                .loads
-                .extract_if(|_, told| now.saturating_duration_since(told.at) >= LAPSE);
-            for (_, told) in lapsed {
-                end(sums, told.load, &mut news);
+            let expired = host.loads.extract_if(|_, reported| {
+                now.saturating_duration_since(reported.at) >= LOAD_EXPIRY
+            });
+            for (_, reported) in expired {
+                remove_load(sums, reported.load, &mut update);
             }
         }
         sums.retain(|_, sum| sum.running > 0);
         self.hosts
-            .retain(|_, host| now.saturating_duration_since(host.heard_at) < FORGOTTEN);
-        news
+            .retain(|_, host| now.saturating_duration_since(host.last_report_at) < HOST_EXPIRY);
+        update
     }
 
     /// Starts a new run of a host: its new process has nothing running, whatever the one before
     /// reported.
-    fn begin_run(&mut self, report: &Report, now: Instant, news: &mut LoadUpdate) {
+    fn begin_run(&mut self, report: &Report, now: Instant, update: &mut LoadUpdate) {
         let known = self.hosts.remove(&report.host);
         let earlier_run = known.as_ref().map(|it| it.run);
-        for told in known.into_iter().flat_map(|it| it.loads.into_values()) {
-            end(&mut self.sums, told.load, news);
+        for reported in known.into_iter().flat_map(|it| it.loads.into_values()) {
+            remove_load(&mut self.sums, reported.load, update);
         }
         let host = HostLoads {
             run: report.run,
             earlier_run,
-            is_known_from_start: earlier_run.is_some() || report.sequence <= FRESH_REPORTS,
-            heard_at: now,
+            is_known_from_start: earlier_run.is_some() || report.sequence <= FIRST_REPORTS,
+            last_report_at: now,
             loads: HashMap::new(),
             samples: HashMap::new(),
         };
@@ -159,16 +160,16 @@
     /// differences.
     fn learn(&mut self, samples: BackendSamples) -> Option<BackendSamples> {
         let before = self.samples.insert(samples.key, samples);
-        let is_recent = self.is_known_from_start || samples.good + samples.bad <= FEW_CALLS;
+        let is_recent = self.is_known_from_start || samples.good + samples.bad <= MAX_FIRST_CALLS;
         let none = is_recent.then(|| BackendSamples::none(samples.key));
         before.or(none).map(|before| samples.since(&before))
     }
 }
 
-impl Told {
+impl ReportedLoad {
     /// Returns the prompt tokens that were added since the report before.
-    fn begun_tokens(&self, before: Option<&Self>) -> u32 {
-        let is_fresh = |it: &&Self| self.at.saturating_duration_since(it.at) < READ_WITHIN;
+    fn new_prompt_tokens(&self, before: Option<&Self>) -> u32 {
+        let is_fresh = |it: &&Self| self.at.saturating_duration_since(it.at) < PROMPT_READ_TIME;
         let unread = before.filter(is_fresh).map(|it| it.load.unread_tokens);
         let unread = unread.unwrap_or_default();
         self.load.unread_tokens.saturating_sub(unread)
@@ -176,20 +177,24 @@
 }
 
 /// Removes a load that was reported before.
-fn end(sums: &mut HashMap<BackendKey, BackendLoad>, before: BackendLoad, news: &mut LoadUpdate) {
+fn remove_load(
+    sums: &mut HashMap<BackendKey, BackendLoad>,
+    before: BackendLoad,
+    update: &mut LoadUpdate,
+) {
     let change = LoadChange {
         key: before.key,
         new_prompt_tokens: 0,
     };
-    change_sum(sums, Some(before), None, change, news);
+    update_sum(sums, Some(before), None, change, update);
 }
 
-fn change_sum(
+fn update_sum(
     sums: &mut HashMap<BackendKey, BackendLoad>,
     before: Option<BackendLoad>,
     after: Option<BackendLoad>,
     change: LoadChange,
-    news: &mut LoadUpdate,
+    update: &mut LoadUpdate,
 ) {
     if before == after && change.new_prompt_tokens == 0 {
         return;
@@ -200,6 +205,6 @@
     sum.running = (sum.running + after.running).saturating_sub(before.running);
     let unread = sum.unread_tokens.saturating_add(after.unread_tokens);
     sum.unread_tokens = unread.saturating_sub(before.unread_tokens);
-    news.changed.push(change);
-    news.has_freed_slot |= after.running < before.running;
+    update.changed.push(change);
+    update.has_freed_slot |= after.running < before.running;
 }
--- a/crates/jaypin_router/src/placement.rs
+++ b/crates/jaypin_router/src/placement.rs
@@ -12,23 +12,23 @@
 ///
 /// For long prompts, unlike engines differ by more than that, so these go to the fast ones. For
 /// short prompts they don't, so these go where there is room.
-const WEIGHT_OF_FILL: f64 = 0.3;
+const FILL_WEIGHT: f64 = 0.3;
 /// Fraction of the longest allowed pause that prefills may take beside running streams.
-const PAUSE_PART: f64 = 0.7;
+const PAUSE_FRACTION: f64 = 0.7;
 /// Weight of each stream that pauses too long because of a prefill.
-const WEIGHT_OF_PAUSE: f64 = 0.15;
+const PAUSE_WEIGHT: f64 = 0.15;
 /// Cost of an unhealthy backend server, in latency targets: it is chosen only if there is no
 /// other.
-const WEIGHT_OF_TROUBLE: f64 = 50.0;
+const UNHEALTHY_COST: f64 = 50.0;
 
 /// Fraction of the time for an answer that the answer may be expected to take, so that most
 /// answers end in time: half of them take longer than expected, some twice as long.
-const SAFE_PART: f64 = 0.4;
+const SAFE_TIME_FRACTION: f64 = 0.4;
 /// Weight of what an answer is expected to take beyond that fraction.
-const WEIGHT_OF_OVERRUN: f64 = 1.5;
+const OVERRUN_WEIGHT: f64 = 1.5;
 /// Cost of a backend server that does not serve the request, in latency targets; less than that
 /// of an unhealthy one.
-const WEIGHT_OF_LACK: f64 = 10.0;
+const NOT_SERVING_COST: f64 = 10.0;
 
 /// What a request needs from a backend server.
 #[derive(Debug, Clone, Copy)]
@@ -68,28 +68,29 @@
     pub is_unhealthy: bool,
 }
 
-/// Returns the best backend server for a request, without those in `tried`.
+/// Returns the best backend server for a request, without those in `attempted`.
 ///
-/// One that `serves` the request is preferred to one that does not. The random numbers of `turn`
-/// spread requests over equally good ones, since all hosts see the same loads at nearly the same
-/// time.
+/// One that `serves` the request is preferred to one that does not. The random numbers of
+/// `tie_break` spread requests over equally good ones, since all hosts see the same loads at
+/// nearly the same time.
 pub fn best_place<'a>(
     backends: impl Iterator<Item = &'a Backend>,
     demand: &Demand,
-    tried: &[BackendId],
+    attempted: &[BackendId],
     serves: impl Fn(&Backend, &Choice) -> bool,
-    mut turn: impl FnMut() -> f64,
+    mut tie_break: impl FnMut() -> f64,
     now: Instant,
 ) -> Option<Choice> {
-    let usable = backends.filter(|it| it.accepts_requests(now) && !tried.contains(&it.record.id));
+    let usable =
+        backends.filter(|it| it.accepts_requests(now) && !attempted.contains(&it.record.id));
     let scored = usable.map(|backend| {
-        let choice = weigh(backend, demand, now);
-        let lacks = if serves(backend, &choice) {
+        let choice = estimate(backend, demand, now);
+        let penalty = if serves(backend, &choice) {
             0.0
         } else {
-            WEIGHT_OF_LACK
+            NOT_SERVING_COST
         };
-        let score = score(backend, &choice, demand) + lacks + turn() * JITTER;
+        let score = score(backend, &choice, demand) + penalty + tie_break() * JITTER;
         (score, choice)
     });
     let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
@@ -99,14 +100,14 @@
 /// Spread of the scores that count as equal: about one request in a batch of nine.
 const JITTER: f64 = 0.03;
 
-fn weigh(backend: &Backend, demand: &Demand, now: Instant) -> Choice {
+fn estimate(backend: &Backend, demand: &Demand, now: Instant) -> Choice {
     let slots = backend.record.slots.max(1);
     let running = backend.running();
     let tokens_ahead = backend.unread_tokens(now);
-    let in_line = f64::from((running + 1).saturating_sub(slots));
+    let queued = f64::from((running + 1).saturating_sub(slots));
     let residence = backend.hold_time().unwrap_or(demand.hold_time);
-    let turn = residence / slots;
-    let slot_wait = in_line * turn.as_secs_f64();
+    let slot_interval = residence / slots;
+    let slot_wait = queued * slot_interval.as_secs_f64();
     let tokens = f64::from(tokens_ahead) + f64::from(demand.prompt_tokens);
     let prefill = backend.prefill_rate.seconds_for(tokens);
     let first_event = CALL_OVERHEAD + Duration::from_secs_f64((slot_wait + prefill).min(3_600.0));
@@ -119,7 +120,7 @@
         first_event,
         time_fraction: answer.map(|it| (first_event.as_secs_f64() + it) / time_left),
         slot_wait: Duration::from_secs_f64(slot_wait.min(3_600.0)),
-        slot_interval: turn,
+        slot_interval,
         tokens_ahead,
         has_slot: running < slots,
         is_unhealthy: backend.is_unhealthy(now),
@@ -127,20 +128,20 @@
 }
 
 fn score(backend: &Backend, choice: &Choice, demand: &Demand) -> f64 {
-    let aim = demand.latency_target.as_secs_f64().max(0.001);
+    let target = demand.latency_target.as_secs_f64().max(0.001);
     let running = f64::from(backend.running());
     let fill = running / f64::from(backend.record.slots.max(1));
-    let mut score = choice.first_event.as_secs_f64() / aim + WEIGHT_OF_FILL * fill;
+    let mut score = choice.first_event.as_secs_f64() / target + FILL_WEIGHT * fill;
     if let Some(pause) = demand.longest_pause {
         let tokens = f64::from(choice.tokens_ahead) + f64::from(demand.prompt_tokens);
-        let longest = pause.as_secs_f64() * PAUSE_PART;
+        let longest = pause.as_secs_f64() * PAUSE_FRACTION;
         let excess = backend.prefill_rate.seconds_for(tokens) / longest - 1.0;
-        score += WEIGHT_OF_PAUSE * running * excess.max(0.0);
+        score += PAUSE_WEIGHT * running * excess.max(0.0);
     }
-    let overrun = choice.time_fraction.unwrap_or_default() - SAFE_PART;
-    score += WEIGHT_OF_OVERRUN * overrun.max(0.0);
+    let overrun = choice.time_fraction.unwrap_or_default() - SAFE_TIME_FRACTION;
+    score += OVERRUN_WEIGHT * overrun.max(0.0);
     if choice.is_unhealthy {
-        score += WEIGHT_OF_TROUBLE;
+        score += UNHEALTHY_COST;
     }
     score
 }
--- a/crates/jaypin_router/src/proof.rs
+++ b/crates/jaypin_router/src/proof.rs
@@ -6,7 +6,7 @@
 
 /// Number of reports from which a peer's clock counts as known: the first ones may all have been
 /// delayed.
-const LEAST_REPORTS: u32 = 6;
+const MIN_REPORTS: u32 = 6;
 
 /// The difference between a peer's clock and this host's, learned from its reports.
 ///
@@ -17,7 +17,7 @@
 #[derive(Debug, Default, Clone, Copy)]
 pub struct PeerClock {
     /// Least difference seen, in microseconds: that of the quickest report.
-    least: Option<i128>,
+    least_difference: Option<i128>,
     reports: u32,
 }
 
@@ -25,7 +25,8 @@
     /// Records a report that was sent at `sent` by the peer's clock and arrived at `now`.
     pub fn record(&mut self, sent: BootTime, now: BootTime) {
         let difference = micros(now) - micros(sent);
-        self.least = Some(self.least.map_or(difference, |least| least.min(difference)));
+        let least = self.least_difference;
+        self.least_difference = Some(least.map_or(difference, |least| least.min(difference)));
         self.reports = self.reports.saturating_add(1);
     }
 
@@ -33,16 +34,17 @@
     /// it may have been; nothing while the clock is not known.
     #[must_use]
     pub fn to_local_time(&self, at: BootTime) -> Option<BootTime> {
-        let least = self.least.filter(|_| self.reports >= LEAST_REPORTS)?;
+        let is_known = self.reports >= MIN_REPORTS;
+        let least = self.least_difference.filter(|_| is_known)?;
         // The quickest report took some milliseconds too, so the true time was earlier.
-        let time = micros(at) + least - micros(QUICKEST);
+        let time = micros(at) + least - micros(MAX_QUICKEST_DELAY);
         Some(Duration::from_micros(u64::try_from(time).ok()?))
     }
 }
 
-/// Longest time that the quickest of several reports may take; between regions, one way takes 12
-/// ms.
-const QUICKEST: Duration = Duration::from_millis(60);
+/// Longest time that the quickest of several reports may take; one way between regions takes
+/// 12 ms.
+const MAX_QUICKEST_DELAY: Duration = Duration::from_millis(60);
 
 fn micros(time: Duration) -> i128 {
     i128::try_from(time.as_micros()).unwrap_or(i128::MAX / 4)
--- a/crates/jaypin_router/src/quota.rs
+++ b/crates/jaypin_router/src/quota.rs
@@ -23,7 +23,7 @@
 const CATCH_UP_SECONDS: f64 = 0.7;
 /// Fraction of the fleet's slack that an account may use at once besides: small accounts now and
 /// then send a prompt worth several seconds of their rate.
-const SLACK_PART: f64 = 0.7;
+const SLACK_FRACTION: f64 = 0.7;
 /// Seconds of its rate that an account may use at once right after a start, over the whole fleet:
 /// each host grants its share, as far as it knows it.
 ///
@@ -31,18 +31,18 @@
 const FIRST_SECONDS: f64 = 0.2;
 /// Fraction of the fleet's slack that an account may use besides at that moment: callers that
 /// were cut off by a restart of all hosts all retry in the first half second after it.
-const FIRST_SLACK_PART: f64 = 0.25;
+const FIRST_SLACK_FRACTION: f64 = 0.25;
 /// Time after its start within which a host adopts lower levels of its peers and does not report
 /// its own: five whole reports.
-const SETTLING: Duration = Duration::from_secs(2);
+const SETTLING_TIME: Duration = Duration::from_secs(2);
 /// Greatest fraction of what may be used at once that is reserved for urgent requests: an account
 /// whose urgent work alone exceeds its rate still gets the other part for its remaining requests
 /// after a calm second or two.
-const MOST_LEFT_PART: f64 = 0.4;
+const MAX_RESERVED_FRACTION: f64 = 0.4;
 /// Longest wait that is stated to an account over its quota.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 /// Shortest such wait.
-const SHORTEST_WAIT: Duration = Duration::from_millis(50);
+const MIN_WAIT: Duration = Duration::from_millis(50);
 
 /// What all limited accounts used in the last window, as far as this host knows.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
     window: Duration,
     slack: f64,
     accounts: HashMap<AccountId, Usage>,
-    heard_part: f64,
+    live_fraction: f64,
 }
 
 #[derive(Debug)]
@@ -62,7 +62,7 @@
     /// Units that may be used at once; a negative number is a debt.
     level: f64,
     /// Greatest fraction of the fleet's first level that was added to `level`.
-    opened_part: f64,
+    opened_fraction: f64,
     filled_at: Instant,
     started_at: Instant,
     /// Units that this host granted in its run.
@@ -89,7 +89,7 @@
             window,
             slack,
             accounts: HashMap::new(),
-            heard_part: 1.0,
+            live_fraction: 1.0,
         }
     }
 
@@ -109,8 +109,8 @@
     ///
     /// If the fleet is split into two parts that receive no reports from each other, each part
     /// grants its fraction of the quotas, so both together keep to them.
-    pub fn set_live_fraction(&mut self, part: f64) {
-        self.heard_part = part;
+    pub fn set_live_fraction(&mut self, fraction: f64) {
+        self.live_fraction = fraction;
     }
 
     /// Takes units from an account's quota.
@@ -121,7 +121,7 @@
         self.take_with_reserve(account, units, 0.0, now)
     }
 
-    /// Takes units from an account's quota if `left` units remain after that.
+    /// Takes units from an account's quota if `reserved` units remain after that.
     ///
     /// An account at its limit thus gives the last units of its quota to its urgent requests.
     ///
@@ -131,31 +131,34 @@
         &mut self,
         account: &AccountId,
         units: f64,
-        left: f64,
+        reserved: f64,
         now: Instant,
     ) -> Result<(), Duration> {
-        let (window, slack, heard_part) = (self.window, self.slack, self.heard_part);
+        let (window, slack, live_fraction) = (self.window, self.slack, self.live_fraction);
         let Some(usage) = self.accounts.get_mut(account) else {
             return Ok(());
         };
         usage.forget(window / PARTS, now);
-        usage.fill(heard_part, slack, now);
+        usage.fill(live_fraction, slack, now);
         // A request for more than may ever be used at once passes when nothing was used.
-        let most = usage.quota.most_at_once(slack) * heard_part;
+        let most = usage.quota.most_at_once(slack) * live_fraction;
         let needed = units.min(most);
         // Reserving more would refuse such a request forever.
-        let needed = needed + left.min(most * MOST_LEFT_PART).min(most - needed);
-        let excess = usage.total() + needed - usage.quota.allowed(window, slack) * heard_part;
+        let needed = needed
+            + reserved
+                .min(most * MAX_RESERVED_FRACTION)
+                .min(most - needed);
+        let excess = usage.total() + needed - usage.quota.allowed(window, slack) * live_fraction;
         if excess > 0.0 {
             let wait = usage.time_until_free(excess, window / PARTS);
-            return Err(wait.min(LONGEST_WAIT));
+            return Err(wait.min(MAX_WAIT));
         }
         let missing = needed - usage.level;
         if missing > 0.0 {
             // This uses the rate of the whole fleet: a host that grants only a part is one of
             // many that the caller may retry at, and will soon receive the others' reports.
-            let wait = (missing / usage.quota.rate.max(1e-3)).min(LONGEST_WAIT.as_secs_f64());
-            return Err(Duration::from_secs_f64(wait).max(SHORTEST_WAIT));
+            let wait = (missing / usage.quota.rate.max(1e-3)).min(MAX_WAIT.as_secs_f64());
+            return Err(Duration::from_secs_f64(wait).max(MIN_WAIT));
         }
         usage.add(units);
         usage.own += units;
@@ -172,10 +175,10 @@
 
     /// Records units that a peer granted.
     pub fn record_peer_usage(&mut self, account: &AccountId, units: f64, now: Instant) {
-        let (part, slack, heard_part) = (self.window / PARTS, self.slack, self.heard_part);
+        let (part, slack, live_fraction) = (self.window / PARTS, self.slack, self.live_fraction);
         if let Some(usage) = self.accounts.get_mut(account) {
             usage.forget(part, now);
-            usage.fill(heard_part, slack, now);
+            usage.fill(live_fraction, slack, now);
             usage.add(units);
         }
     }
@@ -186,11 +189,11 @@
     /// nothing left to grant, an account at its limit would get one more first level with each
     /// restart.
     pub fn apply_peer_level(&mut self, account: &AccountId, level: f64, now: Instant) {
-        let (slack, heard_part) = (self.slack, self.heard_part);
+        let (slack, live_fraction) = (self.slack, self.live_fraction);
         if let Some(usage) = self.accounts.get_mut(account)
             && !usage.is_settled(now)
         {
-            usage.fill(heard_part, slack, now);
+            usage.fill(live_fraction, slack, now);
             usage.level = usage.level.min(level);
         }
     }
@@ -202,7 +205,7 @@
         Some(QuotaLevel {
             left: usage.level,
             used: usage.total(),
-            allowed: usage.quota.allowed(self.window, self.slack) * self.heard_part,
+            allowed: usage.quota.allowed(self.window, self.slack) * self.live_fraction,
         })
     }
 
@@ -214,11 +217,11 @@
 
     /// Returns the levels above which a host that has just started must not begin.
     pub fn low_levels(&mut self, now: Instant) -> Vec<(AccountId, f64)> {
-        let (slack, heard_part) = (self.slack, self.heard_part);
+        let (slack, live_fraction) = (self.slack, self.live_fraction);
         let mut low = Vec::new();
         for (account, usage) in &mut self.accounts {
-            usage.fill(heard_part, slack, now);
-            let first = usage.quota.first_level(slack) * heard_part;
+            usage.fill(live_fraction, slack, now);
+            let first = usage.quota.first_level(slack) * live_fraction;
             if usage.is_settled(now) && usage.level < first {
                 low.push((account.clone(), usage.level));
             }
@@ -234,11 +237,11 @@
     }
 
     fn most_at_once(self, slack: f64) -> f64 {
-        self.burst + self.rate * CATCH_UP_SECONDS + slack * SLACK_PART
+        self.burst + self.rate * CATCH_UP_SECONDS + slack * SLACK_FRACTION
     }
 
     fn first_level(self, slack: f64) -> f64 {
-        self.rate * FIRST_SECONDS + slack * FIRST_SLACK_PART
+        self.rate * FIRST_SECONDS + slack * FIRST_SLACK_FRACTION
     }
 }
 
@@ -249,7 +252,7 @@
             parts: (0..PARTS).map(|_| 0.0).collect(),
             newest_since: now,
             level: 0.0,
-            opened_part: 0.0,
+            opened_fraction: 0.0,
             filled_at: now,
             started_at: now,
             own: 0.0,
@@ -257,7 +260,7 @@
     }
 
     fn is_settled(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.started_at) >= SETTLING
+        now.saturating_duration_since(self.started_at) >= SETTLING_TIME
     }
 
     fn forget(&mut self, part: Duration, now: Instant) {
@@ -275,15 +278,17 @@
     }
 
     /// Refills the units that may be used at once.
-    fn fill(&mut self, heard_part: f64, slack: f64, now: Instant) {
+    fn fill(&mut self, live_fraction: f64, slack: f64, now: Instant) {
         // Peers' use is subtracted from the level, so it becomes that of the whole fleet as their
         // reports arrive.
-        let opened = (heard_part - self.opened_part).max(0.0);
+        let opened = (live_fraction - self.opened_fraction).max(0.0);
         self.level += self.quota.first_level(slack) * opened;
-        self.opened_part += opened;
+        self.opened_fraction += opened;
         let since = now.saturating_duration_since(self.filled_at).as_secs_f64();
-        self.level += self.quota.rate * heard_part * since;
-        self.level = self.level.min(self.quota.most_at_once(slack) * heard_part);
+        self.level += self.quota.rate * live_fraction * since;
+        self.level = self
+            .level
+            .min(self.quota.most_at_once(slack) * live_fraction);
         self.filled_at = now;
     }
 
--- a/crates/jaypin_router/src/route_table.rs
+++ b/crates/jaypin_router/src/route_table.rs
@@ -58,8 +58,8 @@
         }
         let accounts = configuration.accounts.iter().enumerate();
         let credentials = accounts
-            .flat_map(|(place, account)| account.credentials.iter().map(move |it| (it, place)))
-            .map(|(credential, place)| (credential.clone(), place))
+            .flat_map(|(index, account)| account.credentials.iter().map(move |it| (it, index)))
+            .map(|(credential, index)| (credential.clone(), index))
             .collect();
         let mut least_aims: HashMap<ServiceId, Duration> = HashMap::new();
         for route in &configuration.routes {
@@ -71,7 +71,7 @@
         }
         let services = configuration.services.iter().enumerate();
         let services = services
-            .map(|(place, service)| (service.name.clone(), place))
+            .map(|(index, service)| (service.name.clone(), index))
             .collect();
         Self {
             configuration,
@@ -96,15 +96,15 @@
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let of_host = self.routes.get(&host.to_ascii_lowercase())?;
         let slashes = path.rmatch_indices('/');
-        let mut prefixes = slashes.map(|(place, _)| &path[..=place]);
+        let mut prefixes = slashes.map(|(index, _)| &path[..=index]);
         prefixes.find_map(|prefix| of_host.get(prefix))
     }
 
     /// Returns a service by its name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
-        let place = self.services.get(name)?;
-        self.configuration.services.get(*place)
+        let index = self.services.get(name)?;
+        self.configuration.services.get(*index)
     }
 
     /// Returns the shortest latency target of all routes to a service.
@@ -116,8 +116,8 @@
     /// Returns the account that has a credential.
     #[must_use]
     pub fn account(&self, credential: &str) -> Option<&Account> {
-        let place = self.credentials.get(credential)?;
-        self.configuration.accounts.get(*place)
+        let index = self.credentials.get(credential)?;
+        self.configuration.accounts.get(*index)
     }
 
     /// Returns the route and the account of a request.
--- a/crates/jaypin_router/src/signals.rs
+++ b/crates/jaypin_router/src/signals.rs
@@ -15,7 +15,7 @@
 /// Time for which a withdrawn signal is reported, so that no host that was cut off for a while
 /// brings it back, and for which a process that left is remembered: copies of the store are
 /// seconds old.
-const KEPT_FOR: Duration = Duration::from_mins(1);
+const RETENTION: Duration = Duration::from_mins(1);
 
 /// What the header of one answer states about the backend server that gave it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -36,7 +36,7 @@
 /// The newest signals of each backend server.
 #[derive(Debug, Default)]
 pub struct SignalTable {
-    heard: HashMap<BackendKey, HeardSignals>,
+    received: HashMap<BackendKey, ReceivedSignals>,
     backoffs: HashMap<BackendKey, Backoff>,
     /// Processes that stated to the store that they are leaving, and when this host learned of
     /// it.
@@ -45,7 +45,7 @@
 
 /// Signals, with the process that gave them and the time.
 #[derive(Debug, Clone, Copy)]
-struct HeardSignals {
+struct ReceivedSignals {
     signals: BackendSignals,
     /// Start of the backend server's process, as it states it.
     started: u64,
@@ -74,14 +74,14 @@
         now: Instant,
     ) -> bool {
         let key = backend_key(&record.id);
-        let known = self.heard.get(&key);
+        let known = self.received.get(&key);
         let known = known.filter(|it| it.started == record.started).copied();
         if signals.is_none() && known.is_none() {
             return false;
         }
         let before = known.map(|it| it.signals).unwrap_or_default();
         let overtaken = known.filter(|it| signals.rate_limit.is_none() && sent_at < it.at);
-        let heard = HeardSignals {
+        let received = ReceivedSignals {
             signals: BackendSignals {
                 rate_limit: overtaken.map_or(signals.rate_limit, |it| it.signals.rate_limit),
                 is_leaving: before.is_leaving || signals.is_leaving,
@@ -89,8 +89,8 @@
             started: record.started,
             at: overtaken.map_or(now, |it| it.at),
         };
-        self.heard.insert(key, heard);
-        before != heard.signals
+        self.received.insert(key, received);
+        before != received.signals
     }
 
     /// Records a time for which a backend server wants no requests from this host. A shorter one
@@ -117,42 +117,42 @@
 
     /// Applies a peer's report unless something newer is known; returns whether it differs from
     /// what was known.
-    pub fn apply_peer_report(&mut self, told: &SignalReport, now: Instant) -> bool {
-        let Some(at) = now.checked_sub(told.age) else {
+    pub fn apply_peer_report(&mut self, report: &SignalReport, now: Instant) -> bool {
+        let Some(at) = now.checked_sub(report.age) else {
             return false;
         };
-        let mut heard = HeardSignals {
-            signals: told.signals,
-            started: told.started,
+        let mut received = ReceivedSignals {
+            signals: report.signals,
+            started: report.started,
             at,
         };
-        let known = self.heard.get(&told.key).copied();
+        let known = self.received.get(&report.key).copied();
         match known {
-            Some(known) if known.started == told.started => {
-                heard.signals.is_leaving |= known.signals.is_leaving;
-                let is_same = known.signals.rate_limit == told.signals.rate_limit;
+            Some(known) if known.started == report.started => {
+                received.signals.is_leaving |= known.signals.is_leaving;
+                let is_same = known.signals.rate_limit == report.signals.rate_limit;
                 let margin = if is_same {
                     RELAY_MARGIN
                 } else {
                     Duration::ZERO
                 };
                 if at <= known.at + margin {
-                    heard.signals.rate_limit = known.signals.rate_limit;
-                    heard.at = known.at;
+                    received.signals.rate_limit = known.signals.rate_limit;
+                    received.at = known.at;
                 }
             }
             Some(known) if at <= known.at => return false,
             _ => {}
         }
-        self.heard.insert(told.key, heard);
-        known.is_none_or(|it| it.signals != heard.signals || it.started != heard.started)
+        self.received.insert(report.key, received);
+        known.is_none_or(|it| it.signals != received.signals || it.started != received.started)
     }
 
     /// Returns the signals of a backend server's current process.
     #[must_use]
     pub fn of(&self, record: &BackendRecord) -> BackendSignals {
         let key = backend_key(&record.id);
-        let known = self.heard.get(&key);
+        let known = self.received.get(&key);
         let known = known.filter(|it| it.started == record.started);
         let mut signals = known.map(|it| it.signals).unwrap_or_default();
         let left = self.left.get(&key);
@@ -171,43 +171,43 @@
     /// Returns whether nothing is known that still matters.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.heard.is_empty() && self.backoffs.is_empty() && self.left.is_empty()
+        self.received.is_empty() && self.backoffs.is_empty() && self.left.is_empty()
     }
 
     /// Returns whether any backend server states a rate limit.
     #[must_use]
     pub fn has_limits(&self) -> bool {
-        let mut heard = self.heard.values();
-        heard.any(|it| it.signals.rate_limit.is_some())
+        let mut received = self.received.values();
+        received.any(|it| it.signals.rate_limit.is_some())
     }
 
     /// Returns what peers should know of a backend server.
     #[must_use]
     pub fn report_of(&self, key: BackendKey, now: Instant) -> Option<SignalReport> {
-        let heard = self.heard.get(&key)?;
-        Some(heard.report(key, now))
+        let received = self.received.get(&key)?;
+        Some(received.report(key, now))
     }
 
     /// Iterates over what peers should know of all backend servers.
     pub fn reports(&self, now: Instant) -> impl Iterator<Item = SignalReport> {
-        let all = self.heard.iter();
-        all.map(move |(key, heard)| heard.report(*key, now))
+        let all = self.received.iter();
+        all.map(move |(key, received)| received.report(*key, now))
     }
 
     /// Removes signals that were withdrawn long ago, and those of backend servers that no longer
     /// exist.
     pub fn forget_old(&mut self, is_known: impl Fn(BackendKey) -> bool, now: Instant) {
         self.backoffs.retain(|_, backoff| now < backoff.until);
-        let is_old = |at: Instant| now.saturating_duration_since(at) >= KEPT_FOR;
+        let is_old = |at: Instant| now.saturating_duration_since(at) >= RETENTION;
         self.left.retain(|_, (_, at)| !is_old(*at));
-        self.heard.retain(|key, heard| {
-            let is_old = is_old(heard.at);
-            !is_old || (is_known(*key) && !heard.signals.is_none())
+        self.received.retain(|key, received| {
+            let is_old = is_old(received.at);
+            !is_old || (is_known(*key) && !received.signals.is_none())
         });
     }
 }
 
-impl HeardSignals {
+impl ReceivedSignals {
     fn report(&self, key: BackendKey, now: Instant) -> SignalReport {
         SignalReport {
             key,
--- a/crates/jaypin_router/src/throttle.rs
+++ b/crates/jaypin_router/src/throttle.rs
@@ -9,7 +9,7 @@
 
 /// Smallest rate that is used, in requests per second: a backend server that gets no requests
 /// can't state that it accepts more again.
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 
 /// Spaces one host's requests to one backend server.
 #[derive(Debug)]
@@ -57,9 +57,9 @@
 /// nothing if it has no part of the rate.
 #[must_use]
 pub fn pause_at(place: usize, hosts: usize, rate: f64) -> Option<Duration> {
-    let rate = rate.max(LEAST_RATE);
+    let rate = rate.max(MIN_RATE);
     let most = u32::try_from(hosts).unwrap_or(u32::MAX).max(1);
-    let sending = rate.floor().clamp(1.0, f64::from(most));
+    let senders = rate.floor().clamp(1.0, f64::from(most));
     let place = f64::from(u32::try_from(place).unwrap_or(u32::MAX));
-    (place < sending).then(|| Duration::from_secs_f64(sending / rate))
+    (place < senders).then(|| Duration::from_secs_f64(senders / rate))
 }
--- a/crates/jaypin_router/src/view.rs
+++ b/crates/jaypin_router/src/view.rs
@@ -19,13 +19,13 @@
 /// receives a report of each request that begins or ends there.
 const HOSTS_PER_BACKEND: usize = 20;
 /// Smallest number of backend servers in a subset, where there are as many.
-const LEAST_BACKENDS: usize = 4;
+const MIN_BACKENDS: usize = 4;
 /// Greatest number of hosts that receive a report of each request at a backend server. For a
 /// service with so few backend servers that more would have to, reports stay within a cell.
-const MOST_HEARERS: usize = 48;
+const MAX_REPORT_TARGETS: usize = 48;
 /// Number of backend servers by which a sender assumes another host's subset to be larger than it
 /// is: hosts count hosts and backend servers differently for a moment.
-const MARGIN: usize = 1;
+const SUBSET_MARGIN: usize = 1;
 
 /// Which backend servers of a service a host uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,12 +46,12 @@
         if hosts <= SMALL_FLEET {
             return Self::All;
         }
-        let part = (HOSTS_PER_BACKEND * backends).div_ceil(hosts);
-        let part = part.max(LEAST_BACKENDS).min(backends);
-        if part * hosts > MOST_HEARERS * backends {
+        let fraction = (HOSTS_PER_BACKEND * backends).div_ceil(hosts);
+        let fraction = fraction.max(MIN_BACKENDS).min(backends);
+        if fraction * hosts > MAX_REPORT_TARGETS * backends {
             Self::AllWithinCell
         } else {
-            Self::Subset(part)
+            Self::Subset(fraction)
         }
     }
 }
@@ -59,29 +59,30 @@
 /// The backend subsets of one host, by service.
 #[derive(Debug, Default)]
 pub struct BackendSubsets {
-    of_service: HashMap<ServiceId, View>,
+    of_service: HashMap<ServiceId, BackendSubset>,
     is_current: bool,
 }
 
 /// The backend subset of one service.
 #[derive(Debug)]
-struct View {
+struct BackendSubset {
     kind: SubsetKind,
     /// Ids of the backend servers that this host uses.
-    ours: Vec<BackendId>,
-    is_ours: HashSet<BackendId>,
+    own: Vec<BackendId>,
+    /// The same ids, for lookups.
+    own_set: HashSet<BackendId>,
     /// Fraction of the service's backend servers that this host uses.
-    part: f64,
-    others: Vec<OtherView>,
+    fraction: f64,
+    others: Vec<OtherSubset>,
 }
 
 /// Another host's subset of a service.
 #[derive(Debug)]
-struct OtherView {
+struct OtherSubset {
     address: SocketAddr,
     host: u64,
     /// Score of the last backend server that it may use.
-    bar: u64,
+    min_score: u64,
 }
 
 impl BackendSubsets {
@@ -104,100 +105,100 @@
         others: &[(HostId, SocketAddr)],
         backends: BTreeMap<ServiceId, Vec<BackendId>>,
     ) {
-        let views = backends.into_iter().map(|(service, ids)| {
-            let view = View::derive(own, others, ids);
-            (service, view)
+        let subsets = backends.into_iter().map(|(service, ids)| {
+            let subset = BackendSubset::derive(own, others, ids);
+            (service, subset)
         });
-        self.of_service = views.collect();
+        self.of_service = subsets.collect();
         self.is_current = true;
     }
 
     /// Returns the backend servers of a service that this host uses.
     #[must_use]
     pub fn own_subset(&self, service: &str) -> &[BackendId] {
-        let view = self.of_service.get(service);
-        view.map_or(&[], |view| &view.ours)
+        let subset = self.of_service.get(service);
+        subset.map_or(&[], |subset| &subset.own)
     }
 
     /// Returns whether this host uses a backend server.
     #[must_use]
     pub fn contains(&self, service: &str, backend: &str) -> bool {
-        let view = self.of_service.get(service);
-        view.is_some_and(|view| view.is_ours.contains(backend))
+        let subset = self.of_service.get(service);
+        subset.is_some_and(|subset| subset.own_set.contains(backend))
     }
 
     /// Returns the fraction of a service's backend servers that this host uses.
     #[must_use]
     pub fn fraction(&self, service: &str) -> f64 {
-        let view = self.of_service.get(service);
-        view.map_or(1.0, |view| view.part)
+        let subset = self.of_service.get(service);
+        subset.map_or(1.0, |subset| subset.fraction)
     }
 
     /// Returns the kind of subset that this host has of a service.
     #[must_use]
     pub fn kind(&self, service: &str) -> SubsetKind {
-        let view = self.of_service.get(service);
-        view.map_or(SubsetKind::All, |view| view.kind)
+        let subset = self.of_service.get(service);
+        subset.map_or(SubsetKind::All, |subset| subset.kind)
     }
 
     /// Returns the addresses at which the hosts that also use a backend server receive reports;
     /// nothing for a service whose reports stay within a cell.
     #[must_use]
     pub fn peers_using(&self, service: &str, backend: &str) -> Option<Vec<SocketAddr>> {
-        let view = self.of_service.get(service)?;
+        let subset = self.of_service.get(service)?;
         let backend = hash(backend);
-        match view.kind {
+        match subset.kind {
             SubsetKind::AllWithinCell => None,
             SubsetKind::All | SubsetKind::Subset(_) => {
-                let others = view.others.iter();
-                let using = others.filter(|it| pair_score(it.host, backend) >= it.bar);
+                let others = subset.others.iter();
+                let using = others.filter(|it| pair_score(it.host, backend) >= it.min_score);
                 Some(using.map(|it| it.address).collect())
             }
         }
     }
 }
 
-impl View {
+impl BackendSubset {
     fn derive(own: &HostId, others: &[(HostId, SocketAddr)], mut ids: Vec<BackendId>) -> Self {
         let kind = SubsetKind::of(others.len() + 1, ids.len());
         let hashes: Vec<_> = ids.iter().map(|id| hash(id)).collect();
         let all = ids.len();
         if let SubsetKind::Subset(count) = kind {
             let own = hash(own);
-            let bar = bar(own, &hashes, count);
-            ids.retain(|id| pair_score(own, hash(id)) >= bar);
+            let min_score = min_score(own, &hashes, count);
+            ids.retain(|id| pair_score(own, hash(id)) >= min_score);
         }
         let others = others.iter().map(|(host, address)| {
             let host = hash(host);
-            let bar = match kind {
-                SubsetKind::Subset(count) => bar(host, &hashes, count + MARGIN),
+            let min_score = match kind {
+                SubsetKind::Subset(count) => min_score(host, &hashes, count + SUBSET_MARGIN),
                 SubsetKind::All | SubsetKind::AllWithinCell => 0,
             };
-            OtherView {
+            OtherSubset {
                 address: *address,
                 host,
-                bar,
+                min_score,
             }
         });
         Self {
             kind,
-            part: ratio(ids.len(), all),
+            fraction: ratio(ids.len(), all),
             others: others.collect(),
-            is_ours: ids.iter().cloned().collect(),
-            ours: ids,
+            own_set: ids.iter().cloned().collect(),
+            own: ids,
         }
     }
 }
 
 /// Returns the smallest among the `count` greatest scores that a host has with some backend
 /// servers.
-fn bar(host: u64, backends: &[u64], count: usize) -> u64 {
+fn min_score(host: u64, backends: &[u64], count: usize) -> u64 {
     if count >= backends.len() {
         return 0;
     }
     let mut scores: Vec<_> = backends.iter().map(|it| pair_score(host, *it)).collect();
-    let (_, bar, _) = scores.select_nth_unstable_by(count.max(1) - 1, |a, b| b.cmp(a));
-    *bar
+    let (_, min_score, _) = scores.select_nth_unstable_by(count.max(1) - 1, |a, b| b.cmp(a));
+    *min_score
 }
 
 /// Returns the hash of a host's name or a backend server's id, for [`pair_score`].
@@ -214,11 +215,11 @@
     mixed ^ (mixed >> 31)
 }
 
-fn ratio(part: usize, whole: usize) -> f64 {
+fn ratio(fraction: usize, whole: usize) -> f64 {
     let count = |it: usize| f64::from(u32::try_from(it).unwrap_or(u32::MAX));
     if whole == 0 {
         1.0
     } else {
-        count(part) / count(whole)
+        count(fraction) / count(whole)
     }
 }
--- a/crates/jaypin_router/src/waiting.rs
+++ b/crates/jaypin_router/src/waiting.rs
@@ -9,22 +9,22 @@
 /// Waiting requests, the most urgent first, and in order of arrival within a rank.
 #[derive(Debug, Default)]
 pub struct WaitingList {
-    requests: BTreeMap<Place, Request<Waiting>>,
+    requests: BTreeMap<QueueKey, Request<Waiting>>,
 }
 
-type Place = (Rank, Instant, RequestNumber);
+type QueueKey = (Rank, Instant, RequestNumber);
 
 impl WaitingList {
     /// Adds a request.
     pub fn push(&mut self, request: Request<Waiting>) {
-        self.requests.insert(place(&request), request);
+        self.requests.insert(queue_key(&request), request);
     }
 
     /// Removes and returns a request.
     pub fn remove(&mut self, number: RequestNumber) -> Option<Request<Waiting>> {
-        let mut places = self.requests.keys();
-        let place = *places.find(|place| place.2 == number)?;
-        self.requests.remove(&place)
+        let mut keys = self.requests.keys();
+        let key = *keys.find(|key| key.2 == number)?;
+        self.requests.remove(&key)
     }
 
     /// Removes and returns all requests, in order.
@@ -41,7 +41,7 @@
     /// Returns the rank of the most urgent one.
     #[must_use]
     pub fn first_rank(&self) -> Option<Rank> {
-        self.requests.keys().next().map(|place| place.0)
+        self.requests.keys().next().map(|key| key.0)
     }
 
     /// Returns the number of waiting requests.
@@ -57,7 +57,7 @@
     }
 }
 
-fn place(request: &Request<Waiting>) -> Place {
+fn queue_key(request: &Request<Waiting>) -> QueueKey {
     let admitted = &request.admitted;
     (admitted.rank, admitted.arrived_at, admitted.number)
 }
