--- a/crates/jaypin_entry/src/peers/wire/mod.rs
+++ b/crates/jaypin_entry/src/peers/wire/mod.rs
@@ -12,8 +12,8 @@
 
 use jaypin_core::{AccountId, FailureDomain, HostId};
 use jaypin_router::{
-    ArrivalCount, BackendLoad, BackendSamples, BackendSignals, Rank, Report, SignalReport,
-    StoreView, Strike, WholeReport,
+    ArrivalCount, BackendLoad, BackendSamples, BackendSignals, CrashCount, Rank, Report,
+    SignalReport, StoreView, WholeReport,
 };
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -173,7 +173,7 @@
             whole.low_levels.iter().map(wire_units).collect(),
             strikes.map(|it| (it.fingerprint, it.crash_count)).collect(),
             callers.map(|it| it.iter().map(ToString::to_string).collect()),
-            whole.asked.iter().map(wire_asked).collect(),
+            whole.arrivals.iter().map(wire_asked).collect(),
             whole.rollouts.iter().map(wire_rollout).collect(),
         )
     }
@@ -247,13 +247,13 @@
                 era,
             },
             low_levels: low_levels.into_iter().map(units).collect(),
-            asked: asked.into_iter().map(read_asked).collect(),
+            arrivals: asked.into_iter().map(read_asked).collect(),
             rollouts: rollouts
                 .into_iter()
                 .map(read_rollout)
                 .collect::<Result<_, _>>()?,
             crash_counts: strikes
-                .map(|(fingerprint, strikes)| Strike {
+                .map(|(fingerprint, strikes)| CrashCount {
                     fingerprint,
                     crash_count: strikes,
                 })
--- a/crates/jaypin_entry/tests/report_bytes.rs
+++ b/crates/jaypin_entry/tests/report_bytes.rs
@@ -8,8 +8,8 @@
 };
 use jaypin_router::{
     ArrivalCount, BackendLoad, BackendRecord, BackendSamples, BackendSignals, BackendStatus,
-    EntryChange, OutcomeCounts, Rank, Report, RolloutOrder, RolloutReport, RolloutState,
-    RouteOutcomes, SignalReport, StorePoint, StoreView, Strike, VersionOutcomes, WholeReport,
+    CrashCount, EntryChange, OutcomeCounts, Rank, Report, RolloutOrder, RolloutReport,
+    RolloutState, RouteOutcomes, SignalReport, StorePoint, StoreView, VersionOutcomes, WholeReport,
 };
 use rand::RngExt;
 use rand::SeedableRng;
@@ -88,7 +88,7 @@
             era: Some(3),
         },
         low_levels: vec![("farm".into(), -55_000.25)],
-        asked: vec![ArrivalCount {
+        arrivals: vec![ArrivalCount {
             service: u32::MAX,
             rank: Rank {
                 account: 1,
@@ -96,7 +96,7 @@
             },
             requests: 88,
         }],
-        crash_counts: vec![Strike {
+        crash_counts: vec![CrashCount {
             fingerprint: 99,
             crash_count: 2,
         }],
--- a/crates/jaypin_router/src/asked.rs
+++ b/crates/jaypin_router/src/arrivals.rs
@@ -38,8 +38,8 @@
     }
 
     /// Records the requests that arrived at a peer since its previous report.
-    pub fn record_peer(&mut self, asked: &ArrivalCount, now: Instant) {
-        self.count(asked.service, asked.rank, asked.requests, now);
+    pub fn record_peer(&mut self, peer: &ArrivalCount, now: Instant) {
+        self.count(peer.service, peer.rank, peer.requests, now);
     }
 
     /// Iterates over the requests that arrived at this host, as totals of its run.
--- a/crates/jaypin_router/src/backend.rs
+++ b/crates/jaypin_router/src/backend.rs
@@ -339,12 +339,12 @@
     }
 
     /// Sets the time until which this host sends it no requests.
-    pub fn back_off_until(&mut self, until: Option<Instant>) {
+    pub fn set_backoff_until(&mut self, until: Option<Instant>) {
         self.backoff_until = until;
     }
 
     /// Spaces this host's requests by `pause`; without a pause, this host sends none.
-    pub fn throttle(&mut self, pause: Option<Duration>, now: Instant) {
+    pub fn set_throttle(&mut self, pause: Option<Duration>, now: Instant) {
         let throttle = self.throttle.get_or_insert_with(|| Throttle::new(now));
         throttle.set_pause(pause, now);
     }
--- a/crates/jaypin_router/src/cell.rs
+++ b/crates/jaypin_router/src/cell.rs
@@ -9,7 +9,7 @@
 pub type CellIndex = u32;
 
 /// Greatest number of hosts in a cell, on average: the reports of each go to all of them.
-const MAX_HOSTS: usize = crate::view::SMALL_FLEET;
+const MAX_HOSTS: usize = crate::backend_subset::SMALL_FLEET;
 
 /// Returns the number of cells of a fleet. It is a power of two, so that hosts which count the
 /// fleet differently for a moment mostly agree.
--- a/crates/jaypin_router/src/grounds.rs
+++ b/crates/jaypin_router/src/decision_inputs.rs
@@ -26,7 +26,7 @@
         /// Units that the request needs.
         units: f64,
         /// Units that are reserved for the account's more urgent requests.
-        kept: f64,
+        reserved: f64,
         /// What the account has left; absent if it is not limited.
         level: Option<QuotaLevel>,
     },
@@ -62,7 +62,7 @@
         /// Free slots of the service.
         free: u32,
         /// Reserved slots.
-        kept: f64,
+        reserved: f64,
     },
     /// No backend server of the service accepts requests now.
     NoUsableBackend {
@@ -95,12 +95,12 @@
             Self::Quota {
                 account,
                 units,
-                kept,
+                reserved,
                 level,
             } => {
                 write!(f, "{units:.0} units for `{account}`")?;
-                if *kept >= 1.0 {
-                    write!(f, ", {kept:.0} kept for more urgent requests")?;
+                if *reserved >= 1.0 {
+                    write!(f, ", {reserved:.0} kept for more urgent requests")?;
                 }
                 level.map_or(Ok(()), |it| {
                     let QuotaLevel {
@@ -144,10 +144,10 @@
                     .as_ref()
                     .map_or(Ok(()), |it| write!(f, ", trial of version {it}"))
             }
-            Self::Reserved { free, kept } => {
+            Self::Reserved { free, reserved } => {
                 write!(
                     f,
-                    "{free} slots free, {kept:.1} kept for more urgent requests"
+                    "{free} slots free, {reserved:.1} kept for more urgent requests"
                 )
             }
             Self::NoUsableBackend {
--- a/crates/jaypin_router/src/fleet.rs
+++ b/crates/jaypin_router/src/fleet.rs
@@ -7,14 +7,14 @@
 use jaypin_core::{AccountId, FailureDomain, HostId, Incarnation};
 
 use crate::{
-    ArrivalCount, BootTime, CellIndex, PeerClock, Rank, Report, ServiceKey, Strike, WholeReport,
+    ArrivalCount, BootTime, CellIndex, CrashCount, PeerClock, Rank, Report, ServiceKey, WholeReport,
 };
 
 /// Time without a report after which a host no longer counts as live.
 ///
 /// It is five heartbeats of 250 ms, less one, and a margin: hosts on a sixth of a core may stall
 /// for most of a tenth of a second, and one datagram in a hundred is lost.
-pub const PEER_SILENCE: Duration = Duration::from_millis(1_100);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(1_100);
 /// Time after which a silent host counts as removed and not as cut off.
 ///
 /// It is longer than network partitions that heal by themselves. Until then, the silent host's
@@ -51,19 +51,19 @@
     sequence: Option<u64>,
     last_report_at: Instant,
     usage: HashMap<AccountId, f64>,
-    asked: HashMap<(ServiceKey, Rank), u32>,
+    arrivals: HashMap<(ServiceKey, Rank), u32>,
 }
 
 impl Peer {
     /// Returns whether it has sent a report recently.
     #[must_use]
     pub fn is_live(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.last_report_at) < PEER_SILENCE
+        now.saturating_duration_since(self.last_report_at) < PEER_TIMEOUT
     }
 
     fn may_be_cut_off(&self, now: Instant) -> bool {
         let silence = now.saturating_duration_since(self.last_report_at);
-        (PEER_SILENCE..PEER_EXPIRY).contains(&silence)
+        (PEER_TIMEOUT..PEER_EXPIRY).contains(&silence)
     }
 }
 
@@ -84,9 +84,9 @@
     /// Quota levels of accounts that have little left.
     pub low_levels: Vec<(AccountId, f64)>,
     /// Requests that callers sent it since the previous report.
-    pub asked: Vec<ArrivalCount>,
+    pub arrivals: Vec<ArrivalCount>,
     /// Contents that crashed backend servers.
-    pub strikes: Vec<Strike>,
+    pub crash_counts: Vec<CrashCount>,
 }
 
 /// All known peers, and the other cells.
@@ -122,7 +122,7 @@
             };
             self.other_cells.insert(whole.cell, other);
             return PeerUpdate {
-                strikes: whole.crash_counts.clone(),
+                crash_counts: whole.crash_counts.clone(),
                 ..PeerUpdate::default()
             };
         }
@@ -228,7 +228,7 @@
             sequence: None,
             last_report_at: now,
             usage: HashMap::new(),
-            asked: HashMap::new(),
+            arrivals: HashMap::new(),
         }
     }
 
@@ -246,14 +246,14 @@
             self.may_watch = whole.store.may_watch;
             self.version = whole.store.version;
             self.digest = whole.store.digest;
-            update.strikes = whole.crash_counts;
+            update.crash_counts = whole.crash_counts;
             update.low_levels = whole.low_levels;
-            for asked in whole.asked {
-                let key = (asked.service, asked.rank);
-                let before = self.asked.insert(key, asked.requests);
+            for count in whole.arrivals {
+                let key = (count.service, count.rank);
+                let before = self.arrivals.insert(key, count.requests);
                 if let Some(before) = before.or((!is_new).then_some(0)) {
-                    let requests = asked.requests.saturating_sub(before);
-                    update.asked.push(ArrivalCount { requests, ..asked });
+                    let requests = count.requests.saturating_sub(before);
+                    update.arrivals.push(ArrivalCount { requests, ..count });
                 }
             }
         }
--- a/crates/jaypin_router/src/lib.rs
+++ b/crates/jaypin_router/src/lib.rs
@@ -4,30 +4,31 @@
 //! own from its own calls and its peers' reports. [`Router::apply`] is the only owner of this
 //! state. It does no I/O and reads no clock, so the same events give the same effects.
 
-mod account_asked;
-mod asked;
+mod account_arrivals;
+mod arrivals;
 mod backend;
+mod backend_subset;
 mod backend_table;
 mod cell;
-mod come_back;
 mod configuration;
+mod decision_inputs;
 mod entries;
-mod event_pace;
+mod event_rate;
 mod fleet;
-mod floor;
-mod grounds;
 mod limits;
-mod pace;
+mod minimum_share;
+mod peer_clock;
 mod peer_loads;
 mod placement;
-mod proof;
+mod prefill_rate;
 mod quota;
 mod rank;
 mod rate;
 mod report;
 mod request;
 mod resend_budget;
-mod reserve;
+mod reserved_slots;
+mod retry_after;
 mod rollout;
 mod route_table;
 mod router;
@@ -35,36 +36,36 @@
 mod size;
 mod store_point;
 mod throttle;
-mod view;
 mod waiting;
 
-pub use account_asked::AccountArrivals;
-pub use asked::{ArrivalCount, ArrivalRates};
+pub use account_arrivals::AccountArrivals;
+pub use arrivals::{ArrivalCount, ArrivalRates};
 pub use backend::{Backend, BackendRecord, BackendStatus};
+pub use backend_subset::{BackendSubsets, SubsetKind};
 pub use backend_table::BackendTable;
 pub use cell::{CellIndex, cell_count, cell_of};
 pub use configuration::{
     Account, CallerLimits, Configuration, Engine, Quota, QuotaUnit, Repeat, Route, Service, Target,
 };
+pub use decision_inputs::DecisionInputs;
 pub use entries::{Entries, EntryChange};
-pub use event_pace::EventRate;
+pub use event_rate::EventRate;
 pub use fleet::{Fleet, Peer};
-pub use floor::MinimumShares;
-pub use grounds::DecisionInputs;
-pub use pace::PrefillRate;
+pub use minimum_share::MinimumShares;
+pub use peer_clock::PeerClock;
 pub use peer_loads::{LoadChange, LoadUpdate, PeerLoads};
-pub use placement::{Choice, Demand, best_place};
-pub use proof::PeerClock;
+pub use placement::{Choice, Demand, choose_backend};
+pub use prefill_rate::PrefillRate;
 pub use quota::{FleetQuota, QuotaLevel};
 pub use rank::Rank;
 pub use rate::DecayedRate;
 pub use report::{
-    BackendLoad, BackendSamples, Report, RolloutReport, SignalReport, StoreView, Strike,
+    BackendLoad, BackendSamples, CrashCount, Report, RolloutReport, SignalReport, StoreView,
     WholeReport,
 };
 pub use request::{Arrival, AttemptOutcome, Requester};
 pub use resend_budget::ResendBudget;
-pub use reserve::reserved_slots;
+pub use reserved_slots::reserved_slots;
 pub use rollout::{
     Evidence, ExposureBudget, Outcome, OutcomeCounts, Rollout, RolloutOrder, RolloutState,
     RolloutWrite, Rollouts, RouteKey, RouteOutcomes, SlowAnswerDetector, VersionOutcomes,
@@ -75,7 +76,6 @@
 pub use signals::{BackendSignals, SignalTable};
 pub use size::Sizes;
 pub use store_point::{StoreEra, StorePoint};
-pub use view::{BackendSubsets, SubsetKind};
 pub use waiting::WaitingList;
 
 /// Number of a request, unique within one run of a host's process.
--- a/crates/jaypin_router/src/limits.rs
+++ b/crates/jaypin_router/src/limits.rs
@@ -100,7 +100,7 @@
 /// Returns the pause after which a stream is given up, if another backend server may continue it:
 /// its engine hangs, or the connection is dead. Callers give up after eight of the pauses that
 /// they allow, so there is time for another backend server.
-pub fn longest_pause(route: &Route) -> Option<Duration> {
+pub fn stall_timeout(route: &Route) -> Option<Duration> {
     let allowed = route.longest_pause.unwrap_or(DEFAULT_PAUSE);
     let may_move = route.repeat == Repeat::ResumableStream;
     may_move.then(|| allowed * SILENT_PAUSES)
--- a/crates/jaypin_router/src/placement.rs
+++ b/crates/jaypin_router/src/placement.rs
@@ -5,7 +5,7 @@
 use jaypin_core::BackendId;
 
 use crate::Backend;
-use crate::pace::CALL_OVERHEAD;
+use crate::prefill_rate::CALL_OVERHEAD;
 
 /// Weight of the fill level against the time to the first event: a full batch counts as much as
 /// this fraction of the latency target.
@@ -73,7 +73,7 @@
 /// One that `serves` the request is preferred to one that does not. The random numbers of
 /// `tie_break` spread requests over equally good ones, since all hosts see the same loads at
 /// nearly the same time.
-pub fn best_place<'a>(
+pub fn choose_backend<'a>(
     backends: impl Iterator<Item = &'a Backend>,
     demand: &Demand,
     attempted: &[BackendId],
--- a/crates/jaypin_router/src/report.rs
+++ b/crates/jaypin_router/src/report.rs
@@ -62,9 +62,9 @@
     /// Quota levels of accounts that have little left; a host that has just started adopts them.
     pub low_levels: Vec<(AccountId, f64)>,
     /// Requests that callers sent it, as totals of this run.
-    pub asked: Vec<ArrivalCount>,
+    pub arrivals: Vec<ArrivalCount>,
     /// Contents that crashed backend servers.
-    pub crash_counts: Vec<Strike>,
+    pub crash_counts: Vec<CrashCount>,
     /// Rollouts of new versions of services that are in progress or have just ended.
     pub rollouts: Vec<RolloutReport>,
     /// In reports to other cells: the addresses at which callers of the sender's cell may
@@ -153,7 +153,7 @@
 
 /// A content that crashed backend servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Strike {
+pub struct CrashCount {
     /// Fingerprint of the content, salted by its caller.
     pub fingerprint: u64,
     /// Number of backend servers that crashed while running it.
--- a/crates/jaypin_router/src/rollout/slow_answer.rs
+++ b/crates/jaypin_router/src/rollout/slow_answer.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::RouteKey;
-use crate::pace::{CALL_OVERHEAD, PrefillRate};
+use crate::prefill_rate::{CALL_OVERHEAD, PrefillRate};
 
 /// Part of the usual answers that are taken for slow. The test compares how many of both
 /// versions are, so a limit that is somewhat off does no harm.
--- a/crates/jaypin_router/src/router/arrival.rs
+++ b/crates/jaypin_router/src/router/arrival.rs
@@ -7,9 +7,9 @@
 use rand::RngExt;
 
 use super::{Effect, Router};
-use crate::come_back::{LEAVING_RETRY_AFTER, MAX_QUARANTINE_RETRY_AFTER, NOT_READY_RETRY_AFTER};
 use crate::limits::queue_time_limit;
 use crate::request::{Admitted, Request, Waiting};
+use crate::retry_after::{LEAVING_RETRY_AFTER, MAX_QUARANTINE_RETRY_AFTER, NOT_READY_RETRY_AFTER};
 use crate::{
     Account, Arrival, DecisionInputs, QuotaUnit, Rank, RequestNumber, Requester, Route, RouteTable,
     service_key,
@@ -157,7 +157,7 @@
             let grounds = DecisionInputs::Quota {
                 account: account.clone(),
                 units: admitted.units,
-                kept: over.kept,
+                reserved: over.kept,
                 level,
             };
             return fx.push(refuse(number, asked_by, refusal, grounds));
--- a/crates/jaypin_router/src/router/attempt.rs
+++ b/crates/jaypin_router/src/router/attempt.rs
@@ -6,7 +6,7 @@
 
 use super::arrival::refuse;
 use super::{Effect, Router};
-use crate::pace::CALL_OVERHEAD;
+use crate::prefill_rate::CALL_OVERHEAD;
 use crate::request::{Admitted, Request, Sent};
 use crate::{AttemptOutcome, DecisionInputs, RequestNumber};
 
--- a/crates/jaypin_router/src/router/backend_signals.rs
+++ b/crates/jaypin_router/src/router/backend_signals.rs
@@ -7,8 +7,8 @@
 use jaypin_core::ServiceId;
 
 use super::Router;
+use crate::backend_subset::{hash, pair_score};
 use crate::throttle::pause_at;
-use crate::view::{hash, pair_score};
 use crate::{Backend, BackendSignals, DecisionInputs, Report, RequestNumber, SignalTable, cell_of};
 
 /// Hosts that share the rate limits of backend servers, as this host sees them.
@@ -39,7 +39,7 @@
         if let Some(backoff) = backoff {
             self.signals.record_backoff(&backend.record, backoff, now);
         }
-        let has_news = self.signals.heard(&backend.record, signals, state.at, now);
+        let has_news = self.signals.record(&backend.record, signals, state.at, now);
         if has_news {
             self.load_telling.slot_changed(backend.key);
         }
@@ -149,9 +149,9 @@
 /// Sets what a backend server's signals mean for this host. Says whether it leaves as of now.
 fn apply(signals: &SignalTable, backend: &mut Backend, sharers: &Sharers, now: Instant) -> bool {
     let said = signals.of(&backend.record);
-    backend.back_off_until(signals.backoff_until(&backend.record));
+    backend.set_backoff_until(signals.backoff_until(&backend.record));
     match said.rate_limit {
-        Some(rate) => backend.throttle(sharers.pause(backend, rate), now),
+        Some(rate) => backend.set_throttle(sharers.pause(backend, rate), now),
         None => backend.stop_throttling(),
     }
     let leaves_now = said.is_leaving && backend.is_ready();
--- a/crates/jaypin_router/src/router/knowledge.rs
+++ b/crates/jaypin_router/src/router/knowledge.rs
@@ -136,10 +136,10 @@
         for (account, level) in &news.low_levels {
             self.quota.apply_peer_level(account, *level, now);
         }
-        for asked in &news.asked {
+        for asked in &news.arrivals {
             self.asked.record_peer(asked, now);
         }
-        for strike in &news.strikes {
+        for strike in &news.crash_counts {
             self.quarantine
                 .heard(now, strike.fingerprint, strike.crash_count);
         }
--- a/crates/jaypin_router/src/router/placing.rs
+++ b/crates/jaypin_router/src/router/placing.rs
@@ -7,12 +7,12 @@
 
 use super::arrival::{FIRST_PLAIN_RESIDENCE, refuse};
 use super::{Effect, Router};
-use crate::come_back::capacity_retry_after;
 use crate::limits::{
-    first_event_limit, first_event_timeout, is_last_resort, is_long, longest_pause, slot_wait_limit,
+    first_event_limit, first_event_timeout, is_last_resort, is_long, slot_wait_limit, stall_timeout,
 };
-use crate::placement::{Choice, Demand, best_place};
+use crate::placement::{Choice, Demand, choose_backend};
 use crate::request::{Admitted, Request, Sent, Waiting};
+use crate::retry_after::capacity_retry_after;
 use crate::{Backend, DecisionInputs, RequestNumber, VersionRole, reserved_slots, service_key};
 
 /// Kept slots below which a service takes what comes: hardly anything urgent is asked of it.
@@ -57,7 +57,7 @@
         let grounds = match kept {
             Some(it) => DecisionInputs::Reserved {
                 free: it.free,
-                kept: it.kept,
+                reserved: it.kept,
             },
             None => self.grounds_of(&choice, limit, slot_limit),
         };
@@ -103,14 +103,14 @@
             is_in_time(choice, limit, slot_limit) && tightness.is_none_or(|it| it.spares(choice))
         };
         let ours = self.ours(&admitted.service);
-        let choice = best_place(ours, &demand, &admitted.attempted, serves, &mut turn, now)
+        let choice = choose_backend(ours, &demand, &admitted.attempted, serves, &mut turn, now)
             // A host whose own backend servers are all gone uses those of the others.
             .or_else(|| {
                 let all = self.backends.values();
                 let of_service = all.filter(|it| it.record.service == admitted.service);
                 let of_service =
                     of_service.filter(|it| self.role_of(&it.record) == VersionRole::InForce);
-                best_place(
+                choose_backend(
                     of_service,
                     &demand,
                     &admitted.attempted,
@@ -233,7 +233,7 @@
             asked_by: admitted.requester(),
             repeat: admitted.route.repeat,
             first_event_timeout: first_event_timeout(admitted, &choice),
-            stall_timeout: longest_pause(&admitted.route),
+            stall_timeout: stall_timeout(&admitted.route),
             deadline: admitted.deadline,
             inputs: grounds,
         });
--- a/crates/jaypin_router/src/router/rollouts.rs
+++ b/crates/jaypin_router/src/router/rollouts.rs
@@ -12,8 +12,8 @@
 use crate::request::{Admitted, Request, Sent};
 use crate::{
     AttemptOutcome, Backend, BackendRecord, BackendSubsets, BootTime, Choice, ExposureBudget,
-    Outcome, Repeat, Report, RolloutOrder, RolloutReport, SoftwareVersion, VersionRole, best_place,
-    route_key,
+    Outcome, Repeat, Report, RolloutOrder, RolloutReport, SoftwareVersion, VersionRole,
+    choose_backend, route_key,
 };
 
 /// Time after its end for which an order is told to peers.
@@ -205,7 +205,7 @@
         let ours = ours.filter_map(|id| self.backends.get(id));
         let mut rng = self.rng.clone();
         let turn = || rng.random_range(0.0..1.0);
-        let choice = best_place(ours, &demand, &[], serves, turn, now);
+        let choice = choose_backend(ours, &demand, &[], serves, turn, now);
         self.rng = rng;
         choice.filter(|choice| {
             let backend = self.backends.get(&choice.backend);
--- a/crates/jaypin_router/src/router/telling.rs
+++ b/crates/jaypin_router/src/router/telling.rs
@@ -9,7 +9,9 @@
 
 use super::{Effect, Router};
 use crate::fleet::PEER_EXPIRY;
-use crate::{BootTime, Report, SignalReport, StoreView, Strike, WholeReport, cell_of, host_key};
+use crate::{
+    BootTime, CrashCount, Report, SignalReport, StoreView, WholeReport, cell_of, host_key,
+};
 
 /// Pause between two reports when something is to be heard at once.
 const URGENT_PAUSE: Duration = Duration::from_millis(6);
@@ -186,7 +188,7 @@
         let usage = self.usage_to_tell(is_whole);
         let whole = is_whole.then(|| WholeReport {
             low_levels: self.quota.low_levels(now),
-            asked: self.asked.totals().collect(),
+            arrivals: self.asked.totals().collect(),
             ..self.whole_report(now, boot_time)
         });
         let signals = self.signals_to_tell(is_whole, now);
@@ -237,7 +239,7 @@
     /// What this host is and what it knows of the store.
     fn whole_report(&self, now: Instant, boot_time: BootTime) -> WholeReport {
         let strikes = self.quarantine.newest(STRIKES_TOLD).into_iter();
-        let strikes = strikes.map(|(fingerprint, strikes)| Strike {
+        let strikes = strikes.map(|(fingerprint, strikes)| CrashCount {
             fingerprint,
             crash_count: strikes,
         });
@@ -250,7 +252,7 @@
             sent_at: boot_time,
             store: self.store_view(now, boot_time),
             low_levels: Vec::new(),
-            asked: Vec::new(),
+            arrivals: Vec::new(),
             crash_counts: strikes.collect(),
             rollouts: self.rollouts_to_tell(now, false),
             cell_callers: None,
--- a/crates/jaypin_router/src/signals.rs
+++ b/crates/jaypin_router/src/signals.rs
@@ -66,7 +66,7 @@
     ///
     /// An answer without a limit withdraws the limit only if its request was sent after the limit
     /// was received: answers on different connections overtake each other.
-    pub fn heard(
+    pub fn record(
         &mut self,
         record: &BackendRecord,
         signals: BackendSignals,
--- a/crates/jaypin_router/tests/common/mod.rs
+++ b/crates/jaypin_router/tests/common/mod.rs
@@ -158,7 +158,7 @@
         sent_at: Duration::from_secs(1),
         store: StoreView::default(),
         low_levels: Vec::new(),
-        asked: Vec::new(),
+        arrivals: Vec::new(),
         crash_counts: Vec::new(),
         rollouts: Vec::new(),
         cell_callers: None,
--- a/crates/jaypin_router/tests/order.rs
+++ b/crates/jaypin_router/tests/order.rs
@@ -29,7 +29,7 @@
         unread_tokens: 0,
     }];
     if let Some(whole) = &mut report.whole {
-        whole.asked = vec![ArrivalCount {
+        whole.arrivals = vec![ArrivalCount {
             service: service_key(ENGINES),
             rank: URGENT,
             requests: urgent,
