--- a/crates/jaypin_router/src/backend.rs
+++ b/crates/jaypin_router/src/backend.rs
@@ -16,8 +16,8 @@
 const FIRST_COOLDOWN: Duration = Duration::from_millis(400);
 /// Longest cooldown: crashed backend servers are back after some seconds.
 const MAX_COOLDOWN: Duration = Duration::from_secs(3);
-/// Failure rate of calls above which a backend server is put on cooldown. Working services fail a
-/// seventh of some calls on their own; a broken one fails nearly half of them or more.
+/// Failure rate of calls above which a backend server is put on cooldown. Working services may
+/// fail a seventh of some kinds of calls; a broken one fails nearly half of its calls or more.
 const MAX_FAILURE_RATE: f64 = 0.38;
 /// Weight of one call in that moving average: about the last ten calls count.
 const FAILURE_WEIGHT: f64 = 0.1;
@@ -82,6 +82,7 @@
     hold_time: Option<Duration>,
     failure_rate: f64,
     cooldown_until: Option<Instant>,
+    /// Cooldowns since a call last succeeded.
     cooldowns: u32,
     /// Time until which it wants no requests from this host, by its own answer.
     backoff_until: Option<Instant>,
@@ -101,6 +102,7 @@
 struct PeerLoad {
     running: u32,
     unread_tokens: f64,
+    /// Time of the last update.
     at: Option<Instant>,
 }
 
@@ -109,18 +111,18 @@
         &mut self,
         load: BackendLoad,
         new_prompt_tokens: u32,
-        pace: PrefillRate,
+        rate: PrefillRate,
         now: Instant,
     ) {
-        let left = f64::from(self.unread_tokens(pace, now)) + f64::from(new_prompt_tokens);
+        let left = f64::from(self.unread_tokens(rate, now)) + f64::from(new_prompt_tokens);
         self.unread_tokens = left.min(f64::from(load.unread_tokens));
         self.running = load.running;
         self.at = Some(now);
     }
 
-    fn unread_tokens(&self, pace: PrefillRate, now: Instant) -> u32 {
+    fn unread_tokens(&self, rate: PrefillRate, now: Instant) -> u32 {
         let age = self.at.map(|at| now.saturating_duration_since(at));
-        let read = pace.rate() * age.unwrap_or_default().as_secs_f64();
+        let read = rate.rate() * age.unwrap_or_default().as_secs_f64();
         whole_tokens(self.unread_tokens - read)
     }
 }
--- a/crates/jaypin_router/src/entries.rs
+++ b/crates/jaypin_router/src/entries.rs
@@ -106,7 +106,7 @@
             return false;
         }
         self.points.insert(id.clone(), change.point());
-        self.forget_oldest();
+        self.remove_oldest();
         let new = match change {
             EntryChange::Stated { record, .. } => Some(hash(record)),
             EntryChange::Removed { .. } => None,
@@ -122,7 +122,7 @@
         true
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         if self.points.len() <= MAX_POINTS {
             return;
         }
--- a/crates/jaypin_router/src/fleet.rs
+++ b/crates/jaypin_router/src/fleet.rs
@@ -24,7 +24,7 @@
 /// Time without a report after which another cell no longer counts as live.
 ///
 /// Each host receives a report from each other cell twice a second on average, at random times.
-const CELL_SILENCE: Duration = Duration::from_secs(4);
+const CELL_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A peer, as its last reports show it.
 #[derive(Debug)]
@@ -47,7 +47,9 @@
     pub digest: u64,
     /// Estimated difference between its clock and this host's.
     pub clock: PeerClock,
+    /// The run before, whose late reports are ignored.
     earlier_run: Option<Incarnation>,
+    /// Number of the newest report.
     sequence: Option<u64>,
     last_report_at: Instant,
     usage: HashMap<AccountId, f64>,
@@ -73,7 +75,7 @@
 }
 
 fn is_cell_live(at: Instant, now: Instant) -> bool {
-    now.saturating_duration_since(at) < CELL_SILENCE
+    now.saturating_duration_since(at) < CELL_TIMEOUT
 }
 
 /// What a report contains that was not known before.
--- a/crates/jaypin_router/src/minimum_share.rs
+++ b/crates/jaypin_router/src/minimum_share.rs
@@ -7,7 +7,7 @@
 
 use crate::{Rank, ServiceKey};
 
-/// Fraction of the requests of a rank for which no slots are reserved for other ranks.
+/// Fraction of the requests of a rank from which no slots are withheld for other ranks.
 ///
 /// Callers retry once, so a twelfth of the attempts is a sixth of the requests. A greater
 /// fraction is taken from the rank next above, whose requests are worth more.
--- a/crates/jaypin_router/src/peer_loads.rs
+++ b/crates/jaypin_router/src/peer_loads.rs
@@ -32,6 +32,7 @@
 #[derive(Debug)]
 struct HostLoads {
     run: Incarnation,
+    /// The run before, whose late reports are ignored.
     earlier_run: Option<Incarnation>,
     /// Whether reports were received from the beginning of the run.
     is_known_from_start: bool,
--- a/crates/jaypin_router/src/quota.rs
+++ b/crates/jaypin_router/src/quota.rs
@@ -138,7 +138,7 @@
         let Some(usage) = self.accounts.get_mut(account) else {
             return Ok(());
         };
-        usage.forget(window / PARTS, now);
+        usage.drop_old_parts(window / PARTS, now);
         usage.fill(live_fraction, slack, now);
         // A request for more than may ever be used at once passes when nothing was used.
         let most = usage.quota.most_at_once(slack) * live_fraction;
@@ -177,7 +177,7 @@
     pub fn record_peer_usage(&mut self, account: &AccountId, units: f64, now: Instant) {
         let (part, slack, live_fraction) = (self.window / PARTS, self.slack, self.live_fraction);
         if let Some(usage) = self.accounts.get_mut(account) {
-            usage.forget(part, now);
+            usage.drop_old_parts(part, now);
             usage.fill(live_fraction, slack, now);
             usage.add(units);
         }
@@ -263,7 +263,7 @@
         now.saturating_duration_since(self.started_at) >= SETTLING_TIME
     }
 
-    fn forget(&mut self, part: Duration, now: Instant) {
+    fn drop_old_parts(&mut self, part: Duration, now: Instant) {
         let elapsed = now.saturating_duration_since(self.newest_since);
         if elapsed >= part * PARTS {
             self.parts.iter_mut().for_each(|it| *it = 0.0);
--- a/crates/jaypin_router/src/resend_budget.rs
+++ b/crates/jaypin_router/src/resend_budget.rs
@@ -39,13 +39,13 @@
 
     /// Records a request.
     pub fn record_request(&mut self, now: Instant) {
-        self.forget(now);
+        self.remove_old(now);
         self.firsts.push_back(now);
     }
 
     /// Takes a resend from the budget; returns whether one was left.
     pub fn take(&mut self, now: Instant) -> bool {
-        self.forget(now);
+        self.remove_old(now);
         let requests = f64::from(u32::try_from(self.firsts.len()).unwrap_or(u32::MAX));
         let used = f64::from(u32::try_from(self.resends.len()).unwrap_or(u32::MAX));
         let is_left = used + 1.0 <= requests * self.ratio + self.allowance;
@@ -55,7 +55,7 @@
         is_left
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn remove_old(&mut self, now: Instant) {
         let is_old = |at: &Instant| now.saturating_duration_since(*at) >= self.window;
         while self.firsts.front().is_some_and(is_old) {
             self.firsts.pop_front();
--- a/crates/jaypin_router/src/router/backend_signals.rs
+++ b/crates/jaypin_router/src/router/backend_signals.rs
@@ -66,7 +66,7 @@
         }
         let backends = &self.backends;
         let is_known = |key| backends.by_key(key).is_some();
-        self.signals.forget_old(is_known, now);
+        self.signals.remove_expired(is_known, now);
         if self.signals.has_limits() {
             self.apply_signals(now);
         }
--- a/crates/jaypin_router/src/signals.rs
+++ b/crates/jaypin_router/src/signals.rs
@@ -10,7 +10,7 @@
 use crate::{BackendKey, BackendRecord, SignalReport, backend_key};
 
 /// Time by which a peer's report of an unchanged signal has to be newer than the known one: each
-/// report that passes a signal on makes it look a little younger.
+/// report that passes a signal on makes it seem a little younger.
 const RELAY_MARGIN: Duration = Duration::from_millis(100);
 /// Time for which a withdrawn signal is reported, so that no host that was cut off for a while
 /// brings it back, and for which a process that left is remembered: copies of the store are
@@ -196,7 +196,7 @@
 
     /// Removes signals that were withdrawn long ago, and those of backend servers that no longer
     /// exist.
-    pub fn forget_old(&mut self, is_known: impl Fn(BackendKey) -> bool, now: Instant) {
+    pub fn remove_expired(&mut self, is_known: impl Fn(BackendKey) -> bool, now: Instant) {
         self.backoffs.retain(|_, backoff| now < backoff.until);
         let is_old = |at: Instant| now.saturating_duration_since(at) >= RETENTION;
         self.left.retain(|_, (_, at)| !is_old(*at));
--- a/crates/jaypin_router/src/size.rs
+++ b/crates/jaypin_router/src/size.rs
@@ -26,9 +26,10 @@
 impl Sizes {
     /// Records a request and returns its size relative to the baseline, which counts as 1.
     ///
-    /// The baseline is the mean of its rank, or that of the service where it is greater: a short
-    /// kind of request is not penalized for being twice as short as the next, and a rank whose
-    /// requests are all long is not refused before a lower one.
+    /// The baseline is the mean of its rank, or that of the service where it is greater. With the
+    /// mean of the rank alone, requests of a short kind would count as average although they are
+    /// twice as short as those of the next kind; with the mean of the service alone, a rank whose
+    /// requests are all long would be refused before a lower one.
     pub fn relative(
         &mut self,
         service: &ServiceId,
