--- a/crates/jaypin_router/src/fleet.rs
+++ b/crates/jaypin_router/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What the other hosts have told.
+//! The other hosts, as their reports show them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -7,33 +7,33 @@
 use jaypin_core::{AccountId, FailureDomain, HostId, Incarnation};
 
 use crate::{
-    ArrivalCount, BootTime, CellIndex, PeerClock, Rank, Report, ServiceKey, Strike, WholeReport,
+    ArrivalCount, BootTime, CellIndex, CrashCount, PeerClock, Rank, Report, ServiceKey, WholeReport,
 };
 
-/// Time without a report after which a host takes no part.
+/// Time without a report after which a host no longer counts as live.
 ///
-/// Five heartbeats of 250 ms, less one: hosts on a sixth of a core may stand still for
-/// most of a tenth of a second, and a datagram in a hundred is lost.
-pub const PEER_SILENCE: Duration = Duration::from_millis(1_100);
-/// Time after which a silent host is taken for gone and not for cut off.
+/// It is five heartbeats of 250 ms, less one, and a margin: hosts on a sixth of a core may stall
+/// for most of a tenth of a second, and one datagram in a hundred is lost.
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(1_100);
+/// Time after which a silent host counts as removed and not as cut off.
 ///
-/// Longer than cuts that heal by themselves. Until then its part of the
-/// quotas is left to it.
+/// It is longer than network partitions that heal by themselves. Until then, the silent host's
+/// part of the quotas is left to it.
 pub const PEER_EXPIRY: Duration = Duration::from_secs(12);
 
-/// Time without a word after which another cell takes no part.
+/// Time without a report after which another cell no longer counts as live.
 ///
-/// Each host hears from each other cell twice a second on the average, at random.
-const CELL_SILENCE: Duration = Duration::from_secs(4);
+/// Each host receives a report from each other cell twice a second on average, at random times.
+const CELL_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A peer, as its last reports show it.
 #[derive(Debug)]
 pub struct Peer {
-    /// Number of its process's run.
+    /// Incarnation of its process.
     pub run: Incarnation,
-    /// Where it takes reports.
+    /// Address at which it receives reports.
     pub address: SocketAddr,
-    /// Where callers connect.
+    /// Address at which callers connect to it.
     pub callers: SocketAddr,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
@@ -41,95 +41,98 @@
     pub is_ready: bool,
     /// Whether it may be relied on to watch the store.
     pub may_watch: bool,
-    /// Version of its configuration; 0 before any.
+    /// Version of its configuration; 0 before it has one.
     pub version: u64,
-    /// A number that stands for all entries of backend servers that it knows.
+    /// Digest of all entries of backend servers that it knows.
     pub digest: u64,
-    /// Its clock against this host's.
+    /// Estimated difference between its clock and this host's.
     pub clock: PeerClock,
+    /// The run before, whose late reports are ignored.
     earlier_run: Option<Incarnation>,
+    /// Number of the newest report.
     sequence: Option<u64>,
-    heard_at: Instant,
+    last_report_at: Instant,
     usage: HashMap<AccountId, f64>,
-    asked: HashMap<(ServiceKey, Rank), u32>,
+    arrivals: HashMap<(ServiceKey, Rank), u32>,
 }
 
 impl Peer {
-    /// Whether it was heard lately.
+    /// Returns whether it has sent a report recently.
     #[must_use]
     pub fn is_live(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.heard_at) < PEER_SILENCE
+        now.saturating_duration_since(self.last_report_at) < PEER_TIMEOUT
     }
 
     fn may_be_cut_off(&self, now: Instant) -> bool {
-        let silence = now.saturating_duration_since(self.heard_at);
-        (PEER_SILENCE..PEER_EXPIRY).contains(&silence)
+        let silence = now.saturating_duration_since(self.last_report_at);
+        (PEER_TIMEOUT..PEER_EXPIRY).contains(&silence)
     }
 }
 
-/// A count that is divided.
-fn number_of<T>(items: impl Iterator<Item = T>) -> f64 {
+/// Counts items as a floating-point number, for divisions.
+fn count_of<T>(items: impl Iterator<Item = T>) -> f64 {
     items.map(|_| 1.0).sum()
 }
 
-fn is_recent(at: Instant, now: Instant) -> bool {
-    now.saturating_duration_since(at) < CELL_SILENCE
+fn is_cell_live(at: Instant, now: Instant) -> bool {
+    now.saturating_duration_since(at) < CELL_TIMEOUT
 }
 
-/// What a report has that was not known before.
+/// What a report contains that was not known before.
 #[derive(Debug, Default)]
-pub struct News {
-    /// Quota units used since the report before.
+pub struct PeerUpdate {
+    /// Quota units used since the previous report.
     pub usage: Vec<(AccountId, f64)>,
-    /// Levels of accounts that have little left.
+    /// Quota levels of accounts that have little left.
     pub low_levels: Vec<(AccountId, f64)>,
-    /// What callers asked of it since the report before.
-    pub asked: Vec<ArrivalCount>,
-    /// Contents under suspicion.
-    pub strikes: Vec<Strike>,
+    /// Requests that callers sent it since the previous report.
+    pub arrivals: Vec<ArrivalCount>,
+    /// Contents that crashed backend servers.
+    pub crash_counts: Vec<CrashCount>,
 }
 
-/// All peers that were heard of.
+/// All known peers, and the other cells.
 #[derive(Debug, Default)]
 pub struct Fleet {
     peers: BTreeMap<HostId, Peer>,
-    /// Peers by their present run, which names the sender of a short report.
+    /// Peers by the incarnation of their current process, which identifies the sender of a short
+    /// report.
     runs: HashMap<Incarnation, HostId>,
     other_cells: BTreeMap<CellIndex, OtherCell>,
 }
 
-/// Another cell, as one of its hosts told last.
+/// Another cell, as the last report from one of its hosts shows it.
 #[derive(Debug)]
 struct OtherCell {
     callers: Vec<SocketAddr>,
-    heard_at: Instant,
+    last_report_at: Instant,
 }
 
 impl Fleet {
-    /// Takes a report; one that was overtaken by a later one tells nothing, and neither
-    /// does a short one from a host of which no whole one was heard.
-    pub fn apply(&mut self, report: Report, now: Instant, boot_time: BootTime) -> News {
+    /// Applies a report. One that was overtaken by a later one changes nothing, and neither does
+    /// a short one from a host that has sent no whole one yet.
+    pub fn apply(&mut self, report: Report, now: Instant, boot_time: BootTime) -> PeerUpdate {
         let Some(whole) = &report.whole else {
             let known = self.runs.get(&report.run);
             let peer = known.and_then(|host| self.peers.get_mut(host));
-            return peer.map_or_else(News::default, |peer| peer.take(report, false, now));
+            return peer.map_or_else(PeerUpdate::default, |peer| peer.apply(report, false, now));
         };
         if let Some(callers) = &whole.cell_callers {
             let other = OtherCell {
                 callers: callers.clone(),
-                heard_at: now,
+                last_report_at: now,
             };
             self.other_cells.insert(whole.cell, other);
-            return News {
-                strikes: whole.crash_counts.clone(),
-                ..News::default()
+            return PeerUpdate {
+                crash_counts: whole.crash_counts.clone(),
+                ..PeerUpdate::default()
             };
         }
         let host = whole.host.clone();
         let known = self.peers.get(&host);
         let is_new = known.is_none();
         if known.is_some_and(|peer| peer.earlier_run == Some(report.run)) {
-            return News::default();
+            return PeerUpdate::default();
         }
         if known.is_none_or(|peer| peer.run != report.run) {
             let earlier_run = known.map(|peer| peer.run);
@@ -138,60 +141,65 @@
             self.peers.insert(host.clone(), peer);
         }
         let Some(peer) = self.peers.get_mut(&host) else {
-            return News::default();
+            return PeerUpdate::default();
         };
         peer.clock.record(whole.sent_at, boot_time);
-        peer.take(report, is_new, now)
+        peer.apply(report, is_new, now)
     }
 
-    /// Peers that were heard lately.
+    /// Iterates over the live peers.
     pub fn live_peers(&self, now: Instant) -> impl Iterator<Item = (&HostId, &Peer)> {
         self.peers.iter().filter(move |(_, peer)| peer.is_live(now))
     }
 
-    /// Where peers took reports that have been silent for a while.
+    /// Iterates over the addresses at which peers that are no longer live received reports.
     pub fn silent_addresses(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
         let silent = self.peers.values().filter(move |it| !it.is_live(now));
         silent.map(|it| it.address)
     }
 
-    /// A peer.
+    /// Returns a peer by its name.
     #[must_use]
     pub fn peer(&self, host: &str) -> Option<&Peer> {
         self.peers.get(host)
     }
 
-    /// Where callers may connect in other cells that were heard lately.
+    /// Iterates over the addresses at which callers may connect in other live cells.
     pub fn other_cell_callers(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
-        let heard = self.other_cells.values();
-        let heard = heard.filter(move |it| is_recent(it.heard_at, now));
-        heard.flat_map(|cell| cell.callers.iter().copied())
+        let cells = self.other_cells.values();
+        let live = cells.filter(move |it| is_cell_live(it.last_report_at, now));
+        live.flat_map(|cell| cell.callers.iter().copied())
     }
 
-    /// All peers, heard lately or not.
+    /// Iterates over all known peers, live or not.
     pub fn iter(&self) -> impl Iterator<Item = (&HostId, &Peer)> {
         self.peers.iter()
     }
 
-    /// Which part of the fleet this host hears, itself included.
+    /// Returns the fraction of the fleet that is live for this host, itself included.
     ///
-    /// Hosts that were `found` lately and never heard count like those that fell silent: a
-    /// host that has just started hears nobody, and is not the whole fleet.
+    /// Hosts that were `discovered` recently but have never sent a report count like those that
+    /// fell silent: a host that has just started has received no reports, and is not the whole
+    /// fleet.
     #[must_use]
-    pub fn live_fraction<'a>(&self, found: impl Iterator<Item = &'a HostId>, now: Instant) -> f64 {
-        let heard = 1.0 + number_of(self.live_peers(now));
+    pub fn live_fraction<'a>(
+        &self,
+        discovered: impl Iterator<Item = &'a HostId>,
+        now: Instant,
+    ) -> f64 {
+        let live = 1.0 + count_of(self.live_peers(now));
         let silent = self.peers.values().filter(|it| it.may_be_cut_off(now));
-        let unheard = found.filter(|host| !self.peers.contains_key(*host));
-        heard / (heard + number_of(silent) + number_of(unheard))
+        let unknown = discovered.filter(|host| !self.peers.contains_key(*host));
+        live / (live + count_of(silent) + count_of(unknown))
     }
 
-    /// Hosts that take part, this one included.
+    /// Returns the number of live hosts, this one included.
     #[must_use]
     pub fn size(&self, now: Instant) -> usize {
         self.live_peers(now).count() + 1
     }
 
-    /// Drops peers that were silent for long.
+    /// Removes peers that have been silent for long.
     pub fn remove_expired(&mut self, now: Instant) {
         self.peers
             .retain(|_, peer| peer.is_live(now) || peer.may_be_cut_off(now));
@@ -220,43 +228,43 @@
             clock: PeerClock::default(),
             earlier_run,
             sequence: None,
-            heard_at: now,
+            last_report_at: now,
             usage: HashMap::new(),
-            asked: HashMap::new(),
+            arrivals: HashMap::new(),
         }
     }
 
-    /// Totals of a peer that is heard for the first time say nothing of the last moments:
-    /// they are where its differences begin.
-    fn take(&mut self, report: Report, is_new: bool, now: Instant) -> News {
+    /// Applies a report of this peer. The totals in its first report say nothing about recent
+    /// use: they are only the baseline of later differences.
+    fn apply(&mut self, report: Report, is_new: bool, now: Instant) -> PeerUpdate {
         if self.sequence.is_some_and(|last| report.sequence <= last) {
-            return News::default();
+            return PeerUpdate::default();
         }
         self.sequence = Some(report.sequence);
-        self.heard_at = now;
+        self.last_report_at = now;
         self.is_ready = report.is_ready;
-        let mut news = News::default();
+        let mut update = PeerUpdate::default();
         if let Some(whole) = report.whole {
             self.may_watch = whole.store.may_watch;
             self.version = whole.store.version;
             self.digest = whole.store.digest;
-            news.strikes = whole.crash_counts;
-            news.low_levels = whole.low_levels;
-            for asked in whole.asked {
-                let key = (asked.service, asked.rank);
-                let before = self.asked.insert(key, asked.requests);
+            update.crash_counts = whole.crash_counts;
+            update.low_levels = whole.low_levels;
+            for count in whole.arrivals {
+                let key = (count.service, count.rank);
+                let before = self.arrivals.insert(key, count.requests);
                 if let Some(before) = before.or((!is_new).then_some(0)) {
-                    let requests = asked.requests.saturating_sub(before);
-                    news.asked.push(ArrivalCount { requests, ..asked });
+                    let requests = count.requests.saturating_sub(before);
+                    update.arrivals.push(ArrivalCount { requests, ..count });
                 }
             }
         }
         for (account, used) in report.usage {
             let before = self.usage.insert(account.clone(), used);
             if let Some(before) = before.or((!is_new).then_some(0.0)) {
-                news.usage.push((account, used - before));
+                update.usage.push((account, used - before));
             }
         }
-        news
+        update
     }
 }
--- a/crates/jaypin_router/src/peer_loads.rs
+++ b/crates/jaypin_router/src/peer_loads.rs
@@ -1,4 +1,4 @@
-//! What other hosts have running on backend servers, as they told last.
+//! Load of other hosts on backend servers, as last reported.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,22 +7,22 @@
 
 use crate::{BackendKey, BackendLoad, BackendSamples, HostKey, Report};
 
-/// Time after which what a host told of a backend server is no longer believed.
+/// Time after which a host's last reported load on a backend server expires.
 ///
-/// It tells what it has running there twice in this time, so what stays silent is gone with
-/// its process or behind a cut, and one lost datagram forgets nothing.
-const LAPSE: Duration = Duration::from_millis(1_300);
-/// Time without a word of its load after which a host is forgotten.
-const FORGOTTEN: Duration = Duration::from_mins(1);
-/// Time after which prompts that were told are taken as read, where the host tells others.
-const READ_WITHIN: Duration = Duration::from_millis(150);
-/// Reports of a run within which it has hardly served anything.
-const FRESH_REPORTS: u64 = 8;
-/// Calls up to which totals that are heard for the first time are news: they are of the
-/// last seconds, or say little.
-const FEW_CALLS: u32 = 8;
-
-/// What other hosts told, by host and summed up by backend server.
+/// A host reports its load there twice in this time, so one that stays silent has exited or is
+/// cut off, and the loss of one datagram expires nothing.
+const LOAD_EXPIRY: Duration = Duration::from_millis(1_300);
+/// Time without a report of its load after which a host is removed.
+const HOST_EXPIRY: Duration = Duration::from_mins(1);
+/// Time after which reported prompts count as read when the host reports again.
+const PROMPT_READ_TIME: Duration = Duration::from_millis(150);
+/// Number of reports of a run within which the host has hardly served anything.
+const FIRST_REPORTS: u64 = 8;
+/// Number of calls up to which the first totals received from a host count as new: they are of
+/// the last seconds, or say little.
+const MAX_FIRST_CALLS: u32 = 8;
+
+/// Reported load, by host and summed up by backend server.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     hosts: HashMap<HostKey, HostLoads>,
@@ -32,119 +32,122 @@
 #[derive(Debug)]
 struct HostLoads {
     run: Incarnation,
+    /// The run before, whose late reports are ignored.
     earlier_run: Option<Incarnation>,
+    /// Whether reports were received from the beginning of the run.
     is_known_from_start: bool,
-    heard_at: Instant,
-    loads: HashMap<BackendKey, Told>,
+    last_report_at: Instant,
+    loads: HashMap<BackendKey, ReportedLoad>,
     samples: HashMap<BackendKey, BackendSamples>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct ReportedLoad {
     load: BackendLoad,
     sequence: u64,
     at: Instant,
 }
 
-/// A change of what other hosts have running on a backend server.
+/// A change of the load that other hosts have on a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadChange {
-    /// The backend server.
+    /// Key of the backend server.
     pub key: BackendKey,
     /// Prompt tokens of requests that began there.
     pub new_prompt_tokens: u32,
 }
 
-/// What a report has that was not known before.
+/// What a report contains that was not known before.
 #[derive(Debug, Default)]
 pub struct LoadUpdate {
     /// Backend servers on which something changed.
     pub changed: Vec<LoadChange>,
-    /// Whether a slot came free.
+    /// Whether a slot became free.
     pub has_freed_slot: bool,
-    /// What was learned of backend servers.
+    /// What was learned about backend servers.
     pub samples: Vec<BackendSamples>,
 }
 
 impl PeerLoads {
-    /// Takes what a report says of backend servers.
+    /// Applies what a report says about backend servers.
     pub fn apply(&mut self, report: &Report, now: Instant) -> LoadUpdate {
-        let mut news = LoadUpdate::default();
+        let mut update = LoadUpdate::default();
         if report.loads.is_empty() && report.samples.is_empty() {
-            return news;
+            return update;
         }
         let known = self.hosts.get(&report.host);
         if known.is_some_and(|it| it.earlier_run == Some(report.run)) {
-            return news;
+            return update;
         }
         if known.is_none_or(|it| it.run != report.run) {
-            self.begin_run(report, now, &mut news);
+            self.begin_run(report, now, &mut update);
         }
         let Some(host) = self.hosts.get_mut(&report.host) else {
-            return news;
+            return update;
         };
-        host.heard_at = now;
+        host.last_report_at = now;
         for load in &report.loads {
             let before = host.loads.get(&load.key);
             if before.is_some_and(|it| it.sequence >= report.sequence) {
                 continue;
             }
-            let told = Told {
+            let reported = ReportedLoad {
                 load: *load,
                 sequence: report.sequence,
                 at: now,
             };
             let change = LoadChange {
                 key: load.key,
-                new_prompt_tokens: told.begun_tokens(before),
+                new_prompt_tokens: reported.new_prompt_tokens(before),
             };
             let before = before.map(|it| it.load);
-            host.loads.insert(load.key, told);
-            change_sum(&mut self.sums, before, Some(*load), change, &mut news);
+            host.loads.insert(load.key, reported);
+            update_sum(&mut self.sums, before, Some(*load), change, &mut update);
         }
         for samples in &report.samples {
-            news.samples.extend(host.learn(*samples));
+            update.samples.extend(host.learn(*samples));
         }
-        news
+        update
     }
 
-    /// What other hosts have running on a backend server.
+    /// Returns the load that other hosts have on a backend server.
     #[must_use]
     pub fn sum(&self, key: BackendKey) -> BackendLoad {
         let sum = self.sums.get(&key).copied();
         sum.unwrap_or_else(|| BackendLoad::none(key))
     }
 
-    /// Forgets what was not told again in time.
+    /// Removes loads that were not reported again in time.
     pub fn expire(&mut self, now: Instant) -> LoadUpdate {
-        let mut news = LoadUpdate::default();
+        let mut update = LoadUpdate::default();
         let sums = &mut self.sums;
         for host in self.hosts.values_mut() {
-            let lapsed = host
-                .loads
-                .extract_if(|_, told| now.saturating_duration_since(told.at) >= LAPSE);
-            for (_, told) in lapsed {
-                end(sums, told.load, &mut news);
+            let expired = host.loads.extract_if(|_, reported| {
+                now.saturating_duration_since(reported.at) >= LOAD_EXPIRY
+            });
+            for (_, reported) in expired {
+                remove_load(sums, reported.load, &mut update);
             }
         }
         sums.retain(|_, sum| sum.running > 0);
         self.hosts
-            .retain(|_, host| now.saturating_duration_since(host.heard_at) < FORGOTTEN);
-        news
+            .retain(|_, host| now.saturating_duration_since(host.last_report_at) < HOST_EXPIRY);
+        update
     }
 
-    /// A new process of a host has nothing running, whatever the one before told.
-    fn begin_run(&mut self, report: &Report, now: Instant, news: &mut LoadUpdate) {
+    /// Starts a new run of a host: its new process has nothing running, whatever the one before
+    /// reported.
+    fn begin_run(&mut self, report: &Report, now: Instant, update: &mut LoadUpdate) {
         let known = self.hosts.remove(&report.host);
         let earlier_run = known.as_ref().map(|it| it.run);
-        for told in known.into_iter().flat_map(|it| it.loads.into_values()) {
-            end(&mut self.sums, told.load, news);
+        for reported in known.into_iter().flat_map(|it| it.loads.into_values()) {
+            remove_load(&mut self.sums, reported.load, update);
         }
         let host = HostLoads {
             run: report.run,
             earlier_run,
-            is_known_from_start: earlier_run.is_some() || report.sequence <= FRESH_REPORTS,
-            heard_at: now,
+            is_known_from_start: earlier_run.is_some() || report.sequence <= FIRST_REPORTS,
+            last_report_at: now,
             loads: HashMap::new(),
             samples: HashMap::new(),
         };
@@ -153,41 +156,46 @@
 }
 
 impl HostLoads {
-    /// What is new in totals; those of a host that ran for long before it was heard are
-    /// where its differences begin, as they may be minutes old.
+    /// Returns what is new in totals. The first totals of a host that had run for long before its
+    /// first report arrived may be minutes old, so they are only the baseline of later
+    /// differences.
     fn learn(&mut self, samples: BackendSamples) -> Option<BackendSamples> {
         let before = self.samples.insert(samples.key, samples);
-        let is_recent = self.is_known_from_start || samples.good + samples.bad <= FEW_CALLS;
+        let is_recent = self.is_known_from_start || samples.good + samples.bad <= MAX_FIRST_CALLS;
         let none = is_recent.then(|| BackendSamples::none(samples.key));
         before.or(none).map(|before| samples.since(&before))
     }
 }
 
-impl Told {
-    /// Prompt tokens that came since it was told before.
-    fn begun_tokens(&self, before: Option<&Self>) -> u32 {
-        let is_fresh = |it: &&Self| self.at.saturating_duration_since(it.at) < READ_WITHIN;
+impl ReportedLoad {
+    /// Returns the prompt tokens that were added since the report before.
+    fn new_prompt_tokens(&self, before: Option<&Self>) -> u32 {
+        let is_fresh = |it: &&Self| self.at.saturating_duration_since(it.at) < PROMPT_READ_TIME;
         let unread = before.filter(is_fresh).map(|it| it.load.unread_tokens);
         let unread = unread.unwrap_or_default();
         self.load.unread_tokens.saturating_sub(unread)
     }
 }
 
-/// What was told before is over.
-fn end(sums: &mut HashMap<BackendKey, BackendLoad>, before: BackendLoad, news: &mut LoadUpdate) {
+/// Removes a load that was reported before.
+fn remove_load(
+    sums: &mut HashMap<BackendKey, BackendLoad>,
+    before: BackendLoad,
+    update: &mut LoadUpdate,
+) {
     let change = LoadChange {
         key: before.key,
         new_prompt_tokens: 0,
     };
-    change_sum(sums, Some(before), None, change, news);
+    update_sum(sums, Some(before), None, change, update);
 }
 
-fn change_sum(
+fn update_sum(
     sums: &mut HashMap<BackendKey, BackendLoad>,
     before: Option<BackendLoad>,
     after: Option<BackendLoad>,
     change: LoadChange,
-    news: &mut LoadUpdate,
+    update: &mut LoadUpdate,
 ) {
     if before == after && change.new_prompt_tokens == 0 {
         return;
@@ -198,6 +206,6 @@
     sum.running = (sum.running + after.running).saturating_sub(before.running);
     let unread = sum.unread_tokens.saturating_add(after.unread_tokens);
     sum.unread_tokens = unread.saturating_sub(before.unread_tokens);
-    news.changed.push(change);
-    news.has_freed_slot |= after.running < before.running;
+    update.changed.push(change);
+    update.has_freed_slot |= after.running < before.running;
 }
