--- a/crates/jaypin_entry/src/host.rs
+++ b/crates/jaypin_entry/src/host.rs
@@ -176,7 +176,7 @@
                 number,
                 backend,
                 address,
-                asked_by,
+                requester: asked_by,
                 repeat,
                 first_event_timeout: silence,
                 stall_timeout: longest_pause,
@@ -202,7 +202,7 @@
             } => self.direct(number, Directive::Reject(reason, grounds)),
             Effect::Refuse {
                 number,
-                asked_by,
+                requester: asked_by,
                 refusal,
                 inputs: grounds,
             } => self.direct(number, Directive::Refuse(refusal, asked_by, grounds)),
--- a/crates/jaypin_router/src/rollout/outcomes.rs
+++ b/crates/jaypin_router/src/rollout/outcomes.rs
@@ -7,7 +7,7 @@
 pub type RouteKey = u32;
 
 /// Number of routes that are counted separately; all others are counted together.
-const MOST_ROUTES: usize = 16;
+const MAX_ROUTES: usize = 16;
 /// Key under which the others are counted.
 const OTHER_ROUTES: RouteKey = 0;
 
@@ -83,7 +83,7 @@
         self.bad = self.bad.saturating_add(other.bad);
     }
 
-    fn raise_to(&mut self, other: &Self) {
+    fn merge_max(&mut self, other: &Self) {
         self.good = self.good.max(other.good);
         self.slow = self.slow.max(other.slow);
         self.bad = self.bad.max(other.bad);
@@ -124,7 +124,7 @@
 
     /// Counts one call.
     pub fn count(&mut self, route: RouteKey, is_new: bool, outcome: Outcome) {
-        let is_known = self.0.contains_key(&route) || self.0.len() < MOST_ROUTES;
+        let is_known = self.0.contains_key(&route) || self.0.len() < MAX_ROUTES;
         let key = if is_known { route } else { OTHER_ROUTES };
         let counts = self.0.entry(key).or_default();
         let version = if is_new {
@@ -146,11 +146,11 @@
 
     /// Raises each number to that of other totals, if that is greater. Totals only grow, so this
     /// merges the reports of several hosts that know more or less of the same calls.
-    pub fn raise_to(&mut self, other: &Self) {
+    pub fn merge_max(&mut self, other: &Self) {
         for (route, outcomes) in &other.0 {
             let own = self.0.entry(*route).or_default();
-            own.old.raise_to(&outcomes.old);
-            own.new.raise_to(&outcomes.new);
+            own.old.merge_max(&outcomes.old);
+            own.new.merge_max(&outcomes.new);
         }
     }
 
--- a/crates/jaypin_router/src/rollout/progress.rs
+++ b/crates/jaypin_router/src/rollout/progress.rs
@@ -10,11 +10,11 @@
 
 /// Fraction of the order's time limit after which a good version takes over. The remainder
 /// allows for a store that is slow or unavailable.
-const TAKE_OVER_PART: f64 = 0.8;
+const TAKE_OVER_FRACTION: f64 = 0.8;
 /// Delay for each host that writes first, before this host writes the same.
-const WRITE_TURN: Duration = Duration::from_millis(300);
+const WRITE_TURN_DELAY: Duration = Duration::from_millis(300);
 /// Delay before a host repeats a write that the store does not show.
-const WRITE_AGAIN: Duration = Duration::from_millis(1_500);
+const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// A state of an order to write to the store, and the reasons for it.
 #[derive(Debug, Clone, PartialEq)]
@@ -37,15 +37,15 @@
     /// Number of requests that may be sent to the new version.
     pub exposure: ExposureBudget,
     /// Outcomes of this host's own calls.
-    pub own: VersionOutcomes,
+    pub own_outcomes: VersionOutcomes,
     /// When the order ended, as far as this host knows.
     pub ended: Option<Instant>,
-    of_peers: BTreeMap<Incarnation, VersionOutcomes>,
-    of_cells: BTreeMap<CellIndex, VersionOutcomes>,
+    peer_outcomes: BTreeMap<Incarnation, VersionOutcomes>,
+    cell_outcomes: BTreeMap<CellIndex, VersionOutcomes>,
     test: VersionTest,
     is_bad: bool,
     is_end_lost: bool,
-    to_write: Option<(RolloutState, Instant)>,
+    pending_write: Option<(RolloutState, Instant)>,
 }
 
 impl Rollout {
@@ -57,20 +57,20 @@
             order,
             started: now,
             exposure,
-            own: VersionOutcomes::default(),
+            own_outcomes: VersionOutcomes::default(),
             ended,
-            of_peers: BTreeMap::new(),
-            of_cells: BTreeMap::new(),
+            peer_outcomes: BTreeMap::new(),
+            cell_outcomes: BTreeMap::new(),
             test: VersionTest::default(),
             is_bad: false,
             is_end_lost: false,
-            to_write: None,
+            pending_write: None,
         }
     }
 
     /// Returns whether requests may be sent to the new version as a canary.
     #[must_use]
-    pub fn is_trying(&self) -> bool {
+    pub fn is_under_test(&self) -> bool {
         !self.is_bad && !self.order.state.is_final()
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Records that a peer found the new version bad. Returns whether this is a change.
-    pub fn found_bad(&mut self) -> bool {
+    pub fn mark_bad(&mut self) -> bool {
         !std::mem::replace(&mut self.is_bad, true)
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Applies a newer state of the order in the store.
-    pub fn take(&mut self, order: RolloutOrder) {
+    pub fn update(&mut self, order: RolloutOrder) {
         self.order = order;
         self.is_end_lost = false;
     }
@@ -100,7 +100,7 @@
     /// Returns whether the store, restored from an older copy, states the order as it was before
     /// its end.
     #[must_use]
-    pub fn takes_as_lost_end(&self, order: &RolloutOrder) -> bool {
+    pub fn is_lost_end(&self, order: &RolloutOrder) -> bool {
         let is_later_era = order.point.era > self.order.point.era;
         let is_ended = matches!(
             self.order.state,
@@ -112,11 +112,11 @@
 
     /// Keeps the end of the order, so that it is written again over a point of the new history.
     /// Returns whether this is a change.
-    pub fn end_was_lost(&mut self, point: StorePoint) -> bool {
-        let is_news = !self.is_end_lost || point > self.order.point;
+    pub fn restore_end(&mut self, point: StorePoint) -> bool {
+        let is_change = !self.is_end_lost || point > self.order.point;
         self.order.point = self.order.point.max(point);
         self.is_end_lost = true;
-        is_news
+        is_change
     }
 
     /// Returns the test of the new version.
@@ -128,24 +128,30 @@
     /// Returns when the new version takes over if it is good.
     #[must_use]
     pub fn take_over_at(&self) -> Instant {
-        self.started + self.order.time_limit.mul_f64(TAKE_OVER_PART)
+        self.started + self.order.time_limit.mul_f64(TAKE_OVER_FRACTION)
     }
 
     /// Records the outcomes that a host of this cell has counted since its start.
-    pub fn peer_saw(&mut self, run: Incarnation, outcomes: &VersionOutcomes) {
-        self.of_peers.entry(run).or_default().raise_to(outcomes);
+    pub fn record_peer_outcomes(&mut self, run: Incarnation, outcomes: &VersionOutcomes) {
+        self.peer_outcomes
+            .entry(run)
+            .or_default()
+            .merge_max(outcomes);
     }
 
     /// Records the outcomes of another cell, as one of its hosts knows them.
-    pub fn cell_saw(&mut self, cell: CellIndex, outcomes: &VersionOutcomes) {
-        self.of_cells.entry(cell).or_default().raise_to(outcomes);
+    pub fn record_cell_outcomes(&mut self, cell: CellIndex, outcomes: &VersionOutcomes) {
+        self.cell_outcomes
+            .entry(cell)
+            .or_default()
+            .merge_max(outcomes);
     }
 
     /// Returns the outcomes of this host's own cell, as far as it knows them.
     #[must_use]
-    pub fn own_cell(&self) -> VersionOutcomes {
-        let mut sum = self.own.clone();
-        for outcomes in self.of_peers.values() {
+    pub fn own_cell_outcomes(&self) -> VersionOutcomes {
+        let mut sum = self.own_outcomes.clone();
+        for outcomes in self.peer_outcomes.values() {
             sum.add(outcomes);
         }
         sum
@@ -153,26 +159,26 @@
 
     /// Returns the outcomes of the fleet, as far as this host knows them.
     #[must_use]
-    pub fn fleet(&self) -> VersionOutcomes {
-        let mut sum = self.own_cell();
-        for outcomes in self.of_cells.values() {
+    pub fn fleet_outcomes(&self) -> VersionOutcomes {
+        let mut sum = self.own_cell_outcomes();
+        for outcomes in self.cell_outcomes.values() {
             sum.add(outcomes);
         }
         sum
     }
 
     /// Evaluates the outcomes. Returns whether they have just shown that the version is bad.
-    pub fn judge(&mut self, now: Instant) -> bool {
-        if !self.is_trying() {
+    pub fn evaluate(&mut self, now: Instant) -> bool {
+        if !self.is_under_test() {
             return false;
         }
-        self.test.update(&self.fleet(), now);
+        self.test.update(&self.fleet_outcomes(), now);
         self.is_bad = self.test.evidence().is_some();
         self.is_bad
     }
 
     /// Returns the state that the store should have, if it has another.
-    fn wanted(&self, now: Instant) -> Option<RolloutState> {
+    fn wanted_state(&self, now: Instant) -> Option<RolloutState> {
         if self.is_end_lost {
             return Some(self.order.state);
         }
@@ -187,24 +193,24 @@
     }
 
     /// Returns what this host has to write now, while `turns` hosts write before it.
-    pub fn next_write(&mut self, turns: u32, now: Instant) -> Option<RolloutWrite> {
-        let wanted = self.wanted(now)?;
-        let due = match self.to_write {
-            Some((state, due)) if state == wanted => due,
-            _ => now + WRITE_TURN.saturating_mul(turns),
+    pub fn next_write(&mut self, writers_before: u32, now: Instant) -> Option<RolloutWrite> {
+        let wanted_state = self.wanted_state(now)?;
+        let due = match self.pending_write {
+            Some((state, due)) if state == wanted_state => due,
+            _ => now + WRITE_TURN_DELAY.saturating_mul(writers_before),
         };
         if now < due {
-            self.to_write = Some((wanted, due));
+            self.pending_write = Some((wanted_state, due));
             return None;
         }
-        self.to_write = Some((wanted, now + WRITE_AGAIN));
+        self.pending_write = Some((wanted_state, now + WRITE_RETRY_PAUSE));
         Some(RolloutWrite {
             order: RolloutOrder {
-                state: wanted,
+                state: wanted_state,
                 ..self.order.clone()
             },
             evidence: self.test.evidence(),
-            outcomes: self.fleet(),
+            outcomes: self.fleet_outcomes(),
         })
     }
 }
--- a/crates/jaypin_router/src/rollout/version_test.rs
+++ b/crates/jaypin_router/src/rollout/version_test.rs
@@ -16,7 +16,7 @@
 /// Sum from which a version is bad. A good version reaches it once in some 60,000 responses.
 const BAD_SUM: f64 = 11.0;
 /// Greatest sum with which a version may be accepted as good.
-const CALM_SUM: f64 = 4.0;
+const GOOD_SUM: f64 = 4.0;
 /// Rate of failures that counts as clearly more often: the baseline, plus the first number, plus
 /// the second number times the baseline.
 const MORE_FAILURES: (f64, f64) = (0.05, 0.3);
@@ -25,21 +25,21 @@
 /// Time constants over which the old version's rate of bad responses is averaged. The newest
 /// responses alone give a further rate. The greatest rate counts, so that a fault of both
 /// versions shows in the old version no later than in the new one.
-const MEMORIES: [Duration; 2] = [Duration::from_millis(400), Duration::from_secs(5)];
+const TIME_CONSTANTS: [Duration; 2] = [Duration::from_millis(400), Duration::from_secs(5)];
 /// Number of responses that are assumed of the old version in advance, and the rate of bad ones
 /// among them.
-const ASSUMED: (f64, f64) = (3.0, 0.02);
+const PRIOR: (f64, f64) = (3.0, 0.02);
 /// Least and greatest baseline rate.
-const USUAL_BOUNDS: (f64, f64) = (0.01, 0.9);
+const BASELINE_BOUNDS: (f64, f64) = (0.01, 0.9);
 /// Number of failures by which the new version may exceed twice the failures expected of the old
 /// version, whatever the sums are.
-const MOST_EXCESS: f64 = 10.0;
+const MAX_EXCESS_FAILURES: f64 = 10.0;
 /// Number of responses of the new version that are required to accept it as good.
-const LEAST_ANSWERS: u32 = 60;
+const MIN_ANSWERS: u32 = 60;
 /// The same for each common route.
-const LEAST_ROUTE_ANSWERS: u32 = 8;
+const MIN_ROUTE_ANSWERS: u32 = 8;
 /// Fraction of the old version's responses from which a route is common.
-const COMMON_ROUTE: f64 = 0.08;
+const COMMON_ROUTE_FRACTION: f64 = 0.08;
 
 /// Evidence against a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,7 +57,7 @@
 pub struct VersionTest {
     routes: BTreeMap<RouteKey, RouteTest>,
     all: Sums,
-    seen: VersionOutcomes,
+    last_totals: VersionOutcomes,
     failures: f64,
     expected_failures: f64,
     evidence: Option<Evidence>,
@@ -65,9 +65,9 @@
 
 #[derive(Debug, Default)]
 struct RouteTest {
-    seen: RouteOutcomes,
-    failures: Option<UsualPart>,
-    slow: Option<UsualPart>,
+    last_totals: RouteOutcomes,
+    failures: Option<BaselineRate>,
+    slow: Option<BaselineRate>,
     sums: Sums,
 }
 
@@ -94,29 +94,34 @@
         }
     }
 
-    fn is_calm(&self) -> bool {
-        self.failures <= CALM_SUM && self.slow <= CALM_SUM
+    fn is_low(&self) -> bool {
+        self.failures <= GOOD_SUM && self.slow <= GOOD_SUM
     }
 }
 
 /// Recent rate of bad responses of the old version.
 #[derive(Debug, Clone, Copy)]
-struct UsualPart {
+struct BaselineRate {
     rates: [(DecayedRate, DecayedRate); 2],
     /// Numbers of bad and of all responses in the newest update.
     newest: (f64, f64),
 }
 
-impl UsualPart {
+impl BaselineRate {
     fn new(now: Instant) -> Self {
-        let rate = |memory| (DecayedRate::new(memory, now), DecayedRate::new(memory, now));
+        let rate = |time_constant| {
+            (
+                DecayedRate::new(time_constant, now),
+                DecayedRate::new(time_constant, now),
+            )
+        };
         Self {
-            rates: MEMORIES.map(rate),
+            rates: TIME_CONSTANTS.map(rate),
             newest: (0.0, 0.0),
         }
     }
 
-    fn saw(&mut self, bad: u32, all: u32, now: Instant) {
+    fn update(&mut self, bad: u32, all: u32, now: Instant) {
         self.newest = (f64::from(bad), f64::from(all));
         for (bad_rate, rate) in &mut self.rates {
             bad_rate.count(f64::from(bad), now);
@@ -124,50 +129,59 @@
         }
     }
 
-    fn part(&self, now: Instant) -> f64 {
-        let parts = self.rates.iter().zip(MEMORIES).map(|((bad, all), memory)| {
-            let seconds = memory.as_secs_f64();
-            part_of(bad.at(now) * seconds, all.at(now) * seconds)
-        });
+    fn rate(&self, now: Instant) -> f64 {
+        let rates = self
+            .rates
+            .iter()
+            .zip(TIME_CONSTANTS)
+            .map(|((bad, all), time_constant)| {
+                let seconds = time_constant.as_secs_f64();
+                rate_of(bad.at(now) * seconds, all.at(now) * seconds)
+            });
         let (bad, all) = self.newest;
-        let greatest = parts.fold(part_of(bad, all), f64::max);
-        greatest.clamp(USUAL_BOUNDS.0, USUAL_BOUNDS.1)
+        let greatest = rates.fold(rate_of(bad, all), f64::max);
+        greatest.clamp(BASELINE_BOUNDS.0, BASELINE_BOUNDS.1)
     }
 }
 
-fn part_of(bad: f64, all: f64) -> f64 {
-    let (assumed, assumed_part) = ASSUMED;
-    (bad + assumed * assumed_part) / (all + assumed)
+fn rate_of(bad: f64, all: f64) -> f64 {
+    let (prior_count, prior_rate) = PRIOR;
+    (bad + prior_count * prior_rate) / (all + prior_count)
 }
 
 /// Returns the log-likelihood ratio of the number of bad responses between "clearly more often"
 /// and "as often as the baseline".
-fn log_likelihood_ratio(bad: u32, all: u32, usual: f64, (more, part): (f64, f64)) -> f64 {
-    let worse = (usual + more + usual * part).min(0.97);
+fn log_likelihood_ratio(bad: u32, all: u32, baseline: f64, (more, relative): (f64, f64)) -> f64 {
+    let raised = (baseline + more + baseline * relative).min(0.97);
     let good = f64::from(all.saturating_sub(bad));
-    f64::from(bad) * (worse / usual).ln() + good * ((1.0 - worse) / (1.0 - usual)).ln()
+    f64::from(bad) * (raised / baseline).ln() + good * ((1.0 - raised) / (1.0 - baseline)).ln()
 }
 
 impl RouteTest {
     /// Applies new totals. Returns the increments of the sums, and the failures observed and
     /// expected.
-    fn take(&mut self, totals: &RouteOutcomes, now: Instant) -> (Sums, f64, f64) {
-        let news = totals.since(&self.seen);
-        self.seen = *totals;
-        let failures = self.failures.get_or_insert_with(|| UsualPart::new(now));
-        failures.saw(news.old.bad, news.old.total(), now);
-        let usual_failures = failures.part(now);
-        let slow = self.slow.get_or_insert_with(|| UsualPart::new(now));
+    fn update(&mut self, totals: &RouteOutcomes, now: Instant) -> (Sums, f64, f64) {
+        let changes = totals.since(&self.last_totals);
+        self.last_totals = *totals;
+        let failures = self.failures.get_or_insert_with(|| BaselineRate::new(now));
+        failures.update(changes.old.bad, changes.old.total(), now);
+        let baseline_failures = failures.rate(now);
+        let slow = self.slow.get_or_insert_with(|| BaselineRate::new(now));
         let whole = |it: &crate::OutcomeCounts| it.good + it.slow;
-        slow.saw(news.old.slow, whole(&news.old), now);
-        let usual_slow = slow.part(now);
-        let (bad, all) = (news.new.bad, news.new.total());
+        slow.update(changes.old.slow, whole(&changes.old), now);
+        let baseline_slow = slow.rate(now);
+        let (bad, all) = (changes.new.bad, changes.new.total());
         let added = Sums {
-            failures: log_likelihood_ratio(bad, all, usual_failures, MORE_FAILURES),
-            slow: log_likelihood_ratio(news.new.slow, whole(&news.new), usual_slow, MORE_SLOW),
+            failures: log_likelihood_ratio(bad, all, baseline_failures, MORE_FAILURES),
+            slow: log_likelihood_ratio(
+                changes.new.slow,
+                whole(&changes.new),
+                baseline_slow,
+                MORE_SLOW,
+            ),
         };
         self.sums.add(added.failures, added.slow);
-        (added, f64::from(bad), f64::from(all) * usual_failures)
+        (added, f64::from(bad), f64::from(all) * baseline_failures)
     }
 }
 
@@ -177,7 +191,7 @@
         let mut added = Sums::default();
         for (route, outcomes) in totals.routes() {
             let test = self.routes.entry(route).or_default();
-            let (sums, failures, expected) = test.take(outcomes, now);
+            let (sums, failures, expected) = test.update(outcomes, now);
             added.failures += sums.failures;
             added.slow += sums.slow;
             self.failures += failures;
@@ -187,10 +201,10 @@
         }
         self.all.add(added.failures, added.slow);
         self.evidence = self.evidence.or(self.all.evidence(None));
-        if self.failures > MOST_EXCESS + 2.0 * self.expected_failures {
+        if self.failures > MAX_EXCESS_FAILURES + 2.0 * self.expected_failures {
             self.evidence.get_or_insert(Evidence::Excess);
         }
-        self.seen = totals.clone();
+        self.last_totals = totals.clone();
     }
 
     /// Returns the evidence against the version, once there is enough.
@@ -203,16 +217,16 @@
     /// without evidence against it.
     #[must_use]
     pub fn is_good(&self) -> bool {
-        let least = COMMON_ROUTE * f64::from(self.seen.old_total());
+        let least = COMMON_ROUTE_FRACTION * f64::from(self.last_totals.old_total());
         let mut common = self
-            .seen
+            .last_totals
             .routes()
             .filter(|(_, it)| f64::from(it.old.total()) >= least);
         let mut sums = self.routes.values().map(|it| it.sums);
         self.evidence.is_none()
-            && self.seen.new_total() >= LEAST_ANSWERS
-            && common.all(|(_, it)| it.new.total() >= LEAST_ROUTE_ANSWERS)
-            && self.all.is_calm()
-            && sums.all(|it| it.is_calm())
+            && self.last_totals.new_total() >= MIN_ANSWERS
+            && common.all(|(_, it)| it.new.total() >= MIN_ROUTE_ANSWERS)
+            && self.all.is_low()
+            && sums.all(|it| it.is_low())
     }
 }
--- a/crates/jaypin_router/src/rollout/versions.rs
+++ b/crates/jaypin_router/src/rollout/versions.rs
@@ -12,20 +12,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionRole {
     /// All requests except those for the canary version.
-    InForce,
+    Stable,
     /// A limited share of the requests.
-    Trial,
+    Canary,
     /// No requests: no order names the version, or it was given up or replaced.
-    Barred,
+    Excluded,
 }
 
 /// All orders, and the stable version of each service.
 #[derive(Debug, Default)]
 pub struct Rollouts {
     by_service: BTreeMap<ServiceId, Rollout>,
-    in_force: HashMap<ServiceId, SoftwareVersion>,
+    stable: HashMap<ServiceId, SoftwareVersion>,
     /// Versions that were given up.
-    refused: BTreeSet<(ServiceId, SoftwareVersion)>,
+    rejected: BTreeSet<(ServiceId, SoftwareVersion)>,
 }
 
 impl Rollouts {
@@ -52,7 +52,7 @@
 
     /// Applies an order from the store, of which a host first learned `age` ago. Returns whether
     /// this is a change.
-    pub fn take(
+    pub fn apply(
         &mut self,
         order: RolloutOrder,
         age: Duration,
@@ -62,9 +62,9 @@
         let started = now.checked_sub(age).unwrap_or(now);
         let known = self.by_service.get_mut(&order.service);
         if let Some(known) = known
-            && known.takes_as_lost_end(&order)
+            && known.is_lost_end(&order)
         {
-            return known.end_was_lost(order.point);
+            return known.restore_end(order.point);
         }
         let known = self.by_service.get_mut(&order.service);
         let is_reordered = |it: &Rollout| it.order.state.is_final() && !order.state.is_final();
@@ -79,25 +79,25 @@
             return false;
         }
         let was_final = known.order.state.is_final();
-        known.take(order);
+        known.update(order);
         if known.order.state.is_final() {
             known.ended.get_or_insert(now);
         }
         let is_final = known.order.state.is_final();
         let (service, to) = (known.order.service.clone(), known.order.to.clone());
         if is_final && !was_final {
-            self.settle(&service, &to);
+            self.record_end(&service, &to);
         }
         true
     }
 
     /// Records a peer's report that the store has lost the end of an order.
-    pub fn end_was_lost(&mut self, order: &RolloutOrder) {
+    pub fn restore_end(&mut self, order: &RolloutOrder) {
         let known = self.by_service.get_mut(&order.service);
         let is_same = |it: &Rollout| it.order.to == order.to && it.order.state == order.state;
         // A host that knows a later state of the order in the store ignores the report.
         if let Some(known) = known.filter(|it| is_same(it) && it.order.point <= order.point) {
-            known.end_was_lost(order.point);
+            known.restore_end(order.point);
         }
     }
 
@@ -115,40 +115,40 @@
                 return false;
             }
             if known.order.state != RolloutState::Done {
-                let given_up = (service.clone(), known.order.to.clone());
-                self.refused.insert(given_up);
+                let replaced = (service.clone(), known.order.to.clone());
+                self.rejected.insert(replaced);
             }
         }
         let to = order.to.clone();
-        self.refused.remove(&(service.clone(), to.clone()));
+        self.rejected.remove(&(service.clone(), to.clone()));
         let mut rollout = Rollout::new(order, exposure(), now);
         rollout.started = started;
         let is_final = rollout.order.state.is_final();
         self.by_service.insert(service.clone(), rollout);
         if is_final {
-            self.settle(&service, &to);
+            self.record_end(&service, &to);
         } else {
-            self.forget_in_force(&service, &to);
+            self.clear_stable(&service, &to);
         }
         true
     }
 
     /// Records that a version is not the stable one. A host that starts during a rollout may
     /// mistake the canary version for it until it receives the order.
-    fn forget_in_force(&mut self, service: &ServiceId, version: &SoftwareVersion) {
-        if self.in_force.get(service) == Some(version) {
-            self.in_force.remove(service);
+    fn clear_stable(&mut self, service: &ServiceId, version: &SoftwareVersion) {
+        if self.stable.get(service) == Some(version) {
+            self.stable.remove(service);
         }
     }
 
     /// Records how an order ended.
-    fn settle(&mut self, service: &ServiceId, to: &SoftwareVersion) {
+    fn record_end(&mut self, service: &ServiceId, to: &SoftwareVersion) {
         let state = self.by_service.get(service).map(|it| it.order.state);
         if state == Some(RolloutState::Done) {
-            self.in_force.insert(service.clone(), to.clone());
+            self.stable.insert(service.clone(), to.clone());
         } else {
-            self.forget_in_force(service, to);
-            self.refused.insert((service.clone(), to.clone()));
+            self.clear_stable(service, to);
+            self.rejected.insert((service.clone(), to.clone()));
         }
     }
 
@@ -156,11 +156,14 @@
     /// moved the service, else the known stable version, each while a backend server runs it.
     /// Otherwise it is the version of the oldest backend server, since new versions start beside
     /// running ones.
-    pub fn find_in_force<'a>(&mut self, records: impl Iterator<Item = &'a BackendRecord> + Clone) {
+    pub fn update_stable_versions<'a>(
+        &mut self,
+        records: impl Iterator<Item = &'a BackendRecord> + Clone,
+    ) {
         let ready = records.filter(|it| it.status == BackendStatus::Ready);
         let mut oldest: BTreeMap<&ServiceId, &BackendRecord> = BTreeMap::new();
         for record in ready.clone() {
-            if self.is_given_up(record) {
+            if self.is_rejected(record) {
                 continue;
             }
             let known = oldest.entry(&record.service).or_insert(record);
@@ -169,33 +172,36 @@
             }
         }
         for (service, record) in oldest {
-            let is_alive = |version: &SoftwareVersion| {
+            let is_running = |version: &SoftwareVersion| {
                 let mut of_service = ready.clone().filter(|it| it.service == *service);
                 of_service.any(|it| it.version == *version)
             };
-            let ordered = self.done(service).filter(|it| is_alive(it)).cloned();
-            let known = self.in_force.get(service);
-            if let Some(version) = ordered {
-                self.in_force.insert(service.clone(), version);
-            } else if !known.is_some_and(is_alive) && !self.is_tried(record) {
+            let completed = self
+                .completed_version(service)
+                .filter(|it| is_running(it))
+                .cloned();
+            let known = self.stable.get(service);
+            if let Some(version) = completed {
+                self.stable.insert(service.clone(), version);
+            } else if !known.is_some_and(is_running) && !self.is_ordered(record) {
                 let version = record.version.clone();
-                self.in_force.insert(service.clone(), version);
+                self.stable.insert(service.clone(), version);
             }
         }
     }
 
     /// Returns the version to which a completed order moved a service.
-    fn done(&self, service: &ServiceId) -> Option<&SoftwareVersion> {
+    fn completed_version(&self, service: &ServiceId) -> Option<&SoftwareVersion> {
         let order = &self.by_service.get(service)?.order;
         (order.state == RolloutState::Done).then_some(&order.to)
     }
 
-    fn is_given_up(&self, record: &BackendRecord) -> bool {
+    fn is_rejected(&self, record: &BackendRecord) -> bool {
         let key = (record.service.clone(), record.version.clone());
-        self.refused.contains(&key)
+        self.rejected.contains(&key)
     }
 
-    fn is_tried(&self, record: &BackendRecord) -> bool {
+    fn is_ordered(&self, record: &BackendRecord) -> bool {
         let rollout = self.by_service.get(&record.service);
         rollout.is_some_and(|it| it.order.to == record.version && !it.order.state.is_final())
     }
@@ -203,19 +209,19 @@
     /// Returns the requests that a backend server may get by its version.
     #[must_use]
     pub fn role(&self, record: &BackendRecord) -> VersionRole {
-        if self.is_tried(record) {
+        if self.is_ordered(record) {
             let rollout = self.by_service.get(&record.service);
-            return if rollout.is_some_and(Rollout::is_trying) {
-                VersionRole::Trial
+            return if rollout.is_some_and(Rollout::is_under_test) {
+                VersionRole::Canary
             } else {
-                VersionRole::Barred
+                VersionRole::Excluded
             };
         }
-        let in_force = self.in_force.get(&record.service);
-        if in_force.is_none_or(|it| *it == record.version) {
-            VersionRole::InForce
+        let stable = self.stable.get(&record.service);
+        if stable.is_none_or(|it| *it == record.version) {
+            VersionRole::Stable
         } else {
-            VersionRole::Barred
+            VersionRole::Excluded
         }
     }
 }
--- a/crates/jaypin_router/src/router/arrival.rs
+++ b/crates/jaypin_router/src/router/arrival.rs
@@ -17,12 +17,12 @@
 
 /// Time for which a draining host still accepts requests. Callers learn within a few seconds
 /// that it is draining, and the requests that it accepts must end within its shutdown grace.
-const LEAVING_ACCEPTS: Duration = Duration::from_millis(2_500);
+const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(2_500);
 /// Time that a request to an inference engine is assumed to hold its slot before any request has
 /// completed.
-const FIRST_ENGINE_RESIDENCE: Duration = Duration::from_millis(1_200);
+const INITIAL_ENGINE_HOLD_TIME: Duration = Duration::from_millis(1_200);
 /// The same for services without an engine.
-pub(super) const FIRST_PLAIN_RESIDENCE: Duration = Duration::from_millis(20);
+pub(super) const INITIAL_PLAIN_HOLD_TIME: Duration = Duration::from_millis(20);
 
 /// Refusal of a request by an account's quota.
 #[derive(Debug)]
@@ -30,21 +30,21 @@
     /// Time after which the quota would allow the request.
     wait: Duration,
     /// Units reserved for more urgent requests of the account.
-    kept: f64,
+    reserved: f64,
 }
 
 impl Router {
-    pub(super) fn arrived(&mut self, now: Instant, arrival: &Arrival, fx: &mut Vec<Effect>) {
+    pub(super) fn handle_arrival(&mut self, now: Instant, arrival: &Arrival, fx: &mut Vec<Effect>) {
         let number = arrival.number;
         let Some(table) = self.table.clone() else {
             let refusal = Refusal::not_run(Reason::NotReady).retry_after(NOT_READY_RETRY_AFTER);
-            let grounds = DecisionInputs::Configuration {
+            let inputs = DecisionInputs::Configuration {
                 version: 0,
                 proof_age: None,
             };
-            return fx.push(refuse(number, None, refusal, grounds));
+            return fx.push(refuse(number, None, refusal, inputs));
         };
-        let grounds = DecisionInputs::Configuration {
+        let inputs = DecisionInputs::Configuration {
             version: table.configuration().version,
             proof_age: self.proof_age(arrival.boot_time),
         };
@@ -58,23 +58,22 @@
         // nor which routes were added, so it neither admits nor rejects the request.
         if !is_proved && !admitted.as_ref().is_ok_and(is_public) {
             let refusal = Refusal::not_run(Reason::Unproven).retry_after(NOT_READY_RETRY_AFTER);
-            return fx.push(refuse(number, None, refusal, grounds));
+            return fx.push(refuse(number, None, refusal, inputs));
         }
         match admitted {
             Ok((route, account)) => {
-                let request = self.admit(arrival, route, account);
-                self.start(now, request, &table, fx);
+                let request = self.admitted_request(arrival, route, account);
+                self.check_and_place(now, request, &table, fx);
             }
             Err(reason) => fx.push(Effect::Reject {
                 number,
                 reason,
-                inputs:
-                grounds,
+                inputs,
             }),
         }
     }
 
-    fn admit(
+    fn admitted_request(
         &mut self,
         arrival: &Arrival,
         route: &Arc<Route>,
@@ -89,7 +88,7 @@
         let admitted = Admitted {
             number: arrival.number,
             size,
-            expected_events: self.events_of(&service, expected),
+            expected_events: self.expected_events(&service, expected),
             service,
             account: account.map(|account| account.name.clone()),
             rank,
@@ -113,14 +112,14 @@
 
     /// Returns the number of events that carry so many tokens, for the stream of an engine's
     /// service.
-    fn events_of(&self, service: &ServiceId, tokens: u32) -> Option<f64> {
+    fn expected_events(&self, service: &ServiceId, tokens: u32) -> Option<f64> {
         let engine = self.table.as_ref()?.service(service)?.engine.as_ref()?;
         let events = f64::from(tokens) / f64::from(engine.tokens_per_event.max(1));
         (tokens > 0).then_some(events)
     }
 
     /// Applies the checks that are common to all routes, and places the request.
-    fn start(
+    fn check_and_place(
         &mut self,
         now: Instant,
         request: Request<Waiting>,
@@ -129,59 +128,58 @@
     ) {
         let admitted = &request.admitted;
         let number = admitted.number;
-        let asked_by = Some(admitted.requester());
-        let leaving_for = self
+        let requester = Some(admitted.requester());
+        let draining_for = self
             .draining_since
             .map(|since| now.saturating_duration_since(since));
-        if leaving_for.is_some_and(|time| time >= LEAVING_ACCEPTS) {
+        if draining_for.is_some_and(|time| time >= DRAIN_ACCEPT_TIME) {
             let refusal = Refusal::not_run(Reason::Draining).retry_after(LEAVING_RETRY_AFTER);
-            return fx.push(refuse(number, asked_by, refusal, DecisionInputs::Leaving));
+            return fx.push(refuse(number, requester, refusal, DecisionInputs::Leaving));
         }
         if let Some(left) = self.quarantined_for(admitted.fingerprint, now) {
             let refusal = Refusal::not_run(Reason::Quarantined);
             let refusal = refusal.retry_after(left.min(MAX_QUARANTINE_RETRY_AFTER));
-            let strikes = self.quarantine.strikes(admitted.fingerprint);
+            let crash_count = self.quarantine.strikes(admitted.fingerprint);
             return fx.push(refuse(
                 number,
-                asked_by,
+                requester,
                 refusal,
-                DecisionInputs::Crashes {
-                    crash_count: strikes, },
+                DecisionInputs::Crashes { crash_count },
             ));
         }
         let key = service_key(&admitted.service);
-        self.floors.record_arrival(key, admitted.rank);
+        self.minimum_shares.record_arrival(key, admitted.rank);
         if let Some(account) = &admitted.account
-            && let Err(over) = self.take_quota(account, admitted, now)
+            && let Err(over) = self.charge_quota(account, admitted, now)
         {
             let refusal = Refusal::not_run(Reason::OverLimit).retry_after(over.wait);
             let level = self.quota.level(account);
-            let grounds = DecisionInputs::Quota {
+            let inputs = DecisionInputs::Quota {
                 account: account.clone(),
                 units: admitted.units,
-                kept: over.kept,
+                kept: over.reserved,
                 level,
             };
-            return fx.push(refuse(number, asked_by, refusal, grounds));
+            return fx.push(refuse(number, requester, refusal, inputs));
         }
-        self.asked.record(key, admitted.rank, now);
+        self.arrival_rates.record(key, admitted.rank, now);
         let service = admitted.service.clone();
         let first = if table
             .service(&service)
             .is_some_and(|it| it.engine.is_some())
         {
-            FIRST_ENGINE_RESIDENCE
+            INITIAL_ENGINE_HOLD_TIME
         } else {
-            FIRST_PLAIN_RESIDENCE
+            INITIAL_PLAIN_HOLD_TIME
         };
-        self.residence.entry(service.clone()).or_insert(first);
+        self.hold_times.entry(service.clone()).or_insert(first);
         self.budget(&service, now).record_request(now);
         self.place(now, request, fx);
     }
 
     /// Charges an account's quota, except for units that are reserved for its more urgent
     /// routes.
-    fn take_quota(
+    fn charge_quota(
         &mut self,
         account: &AccountId,
         admitted: &Admitted,
@@ -190,18 +188,19 @@
         let route = (service_key(&admitted.service), admitted.rank.route);
         let units = admitted.units;
         if units > 0.0 {
-            self.account_asked.record(account, route, units, now);
+            self.account_arrivals.record(account, route, units, now);
         }
-        let is_owed = self.floors.is_behind(route.0, admitted.rank);
-        let kept = if is_owed || units <= 0.0 {
+        let is_below_minimum = self.minimum_shares.is_behind(route.0, admitted.rank);
+        let reserved = if is_below_minimum || units <= 0.0 {
             0.0
         } else {
             let hosts = u32::try_from(self.fleet.size(now)).unwrap_or(u32::MAX);
             let hosts = f64::from(hosts) * f64::from(self.cells);
-            self.account_asked.units_to_reserve(account, route, hosts, now)
+            self.account_arrivals
+                .units_to_reserve(account, route, hosts, now)
         };
-        let taken = self.quota.take_with_reserve(account, units, kept, now);
-        taken.map_err(|wait| OverQuota { wait, kept })
+        let charged = self.quota.take_with_reserve(account, units, reserved, now);
+        charged.map_err(|wait| OverQuota { wait, reserved })
     }
 
     fn choose_service(&mut self, route: &Route) -> ServiceId {
@@ -220,16 +219,15 @@
 
 pub(super) fn refuse(
     number: RequestNumber,
-    asked_by: Option<Requester>,
+    requester: Option<Requester>,
     refusal: Refusal,
-    grounds: DecisionInputs,
+    inputs: DecisionInputs,
 ) -> Effect {
     Effect::Refuse {
         number,
-        asked_by,
+        requester,
         refusal,
-        inputs:
-        grounds,
+        inputs,
     }
 }
 
--- a/crates/jaypin_router/src/router/attempt.rs
+++ b/crates/jaypin_router/src/router/attempt.rs
@@ -11,15 +11,15 @@
 use crate::{AttemptOutcome, DecisionInputs, RequestNumber};
 
 /// Number of backend servers that may decline one request before it is refused.
-const MOST_DECLINED: usize = 4;
+const MAX_DECLINES: usize = 4;
 /// Factor by which an engine's events must slow down in one update so that peers receive a
 /// report at once.
-const WORTH_TELLING: f64 = 4.0 / 3.0;
+const REPORTED_SLOWDOWN: f64 = 4.0 / 3.0;
 /// Weight of one request in the moving average of slot hold times.
-const RESIDENCE_WEIGHT: f64 = 0.05;
+const HOLD_TIME_WEIGHT: f64 = 0.05;
 
 impl Router {
-    pub(super) fn answered(&mut self, now: Instant, number: RequestNumber) {
+    pub(super) fn handle_response_start(&mut self, now: Instant, number: RequestNumber) {
         let Some(request) = self.sent.get_mut(&number) else {
             return;
         };
@@ -36,14 +36,19 @@
         // prefill of this one.
         let is_first = request.admitted.attempted.len() == 1;
         if state.had_slot && is_first && request.admitted.prompt_tokens > 0 {
-            let taken = now.saturating_duration_since(state.at);
-            let seconds = taken.saturating_sub(CALL_OVERHEAD).as_secs_f64();
+            let elapsed = now.saturating_duration_since(state.at);
+            let seconds = elapsed.saturating_sub(CALL_OVERHEAD).as_secs_f64();
             let tokens = f64::from(state.tokens_ahead) + f64::from(request.admitted.prompt_tokens);
             backend.record_prefill(tokens, seconds);
         }
     }
 
-    pub(super) fn streamed(&mut self, number: RequestNumber, events: u32, time: Duration) {
+    pub(super) fn handle_stream_events(
+        &mut self,
+        number: RequestNumber,
+        events: u32,
+        time: Duration,
+    ) {
         let Some(request) = self.sent.get(&number) else {
             return;
         };
@@ -51,14 +56,14 @@
             let before = backend.event_rate.seconds_for(1.0);
             backend.record_events(f64::from(events), time.as_secs_f64());
             let after = backend.event_rate.seconds_for(1.0);
-            let slower = before.zip(after).map(|(before, after)| after / before);
-            if slower.is_some_and(|it| it >= WORTH_TELLING) {
-                self.load_telling.learned_much(backend.key);
+            let slowdown = before.zip(after).map(|(before, after)| after / before);
+            if slowdown.is_some_and(|it| it >= REPORTED_SLOWDOWN) {
+                self.load_report_state.report_samples_at_once(backend.key);
             }
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn handle_attempt_end(
         &mut self,
         now: Instant,
         number: RequestNumber,
@@ -70,56 +75,56 @@
         };
         if let Some(backend) = self.backends.get_mut(&request.state.backend) {
             backend.record_end(number, outcome, now);
-            self.load_telling.slot_changed(backend.key);
+            self.load_report_state.slot_changed(backend.key);
         }
-        self.compare_versions(&request, outcome);
+        self.count_outcome(&request, outcome);
         request.admitted.is_started |= request.state.first_event_at.is_some();
         match outcome {
-            AttemptOutcome::Complete => self.learn_residence(&request, now),
+            AttemptOutcome::Complete => self.record_hold_time(&request, now),
             AttemptOutcome::Abandoned => {}
-            _ if outcome.is_definitely_not_run() => self.declined(now, request, outcome, fx),
+            _ if outcome.is_definitely_not_run() => self.handle_not_run(now, request, outcome, fx),
             _ => {
                 request.admitted.possible_runs += 1;
-                self.failed(now, request, outcome, fx);
+                self.handle_failure(now, request, outcome, fx);
             }
         }
         self.place_waiting(now, fx);
     }
 
-    fn learn_residence(&mut self, request: &Request<Sent>, now: Instant) {
-        let held = now.saturating_duration_since(request.state.at);
-        if let Some(mean) = self.residence.get_mut(&request.admitted.service) {
-            let kept = mean.mul_f64(1.0 - RESIDENCE_WEIGHT);
-            *mean = kept + held.mul_f64(RESIDENCE_WEIGHT);
+    fn record_hold_time(&mut self, request: &Request<Sent>, now: Instant) {
+        let hold_time = now.saturating_duration_since(request.state.at);
+        if let Some(mean) = self.hold_times.get_mut(&request.admitted.service) {
+            let remaining = mean.mul_f64(1.0 - HOLD_TIME_WEIGHT);
+            *mean = remaining + hold_time.mul_f64(HOLD_TIME_WEIGHT);
         }
     }
 
     /// Handles a call on which the backend server did not run the request, so another one may
     /// get it.
-    fn declined(
+    fn handle_not_run(
         &mut self,
         now: Instant,
         request: Request<Sent>,
         outcome: AttemptOutcome,
         fx: &mut Vec<Effect>,
     ) {
-        let until = request.admitted.arrived_at + second_look(&request.admitted);
+        let until = request.admitted.arrived_at + retry_window(&request.admitted);
         let service = request.admitted.service.clone();
-        let is_free = matches!(
+        let is_outside_budget = matches!(
             outcome,
             AttemptOutcome::Unreached | AttemptOutcome::Withheld
         );
-        let is_tried_often = request.admitted.attempted.len() >= MOST_DECLINED;
+        let has_too_many_declines = request.admitted.attempted.len() >= MAX_DECLINES;
         let request = request.requeue(until);
-        if is_tried_often || !(is_free || self.budget(&service, now).take(now)) {
-            let grounds = call_grounds(&request.admitted);
-            return self.give_up(now, &request, Reason::Shed, grounds, fx);
+        if has_too_many_declines || !(is_outside_budget || self.budget(&service, now).take(now)) {
+            let inputs = call_inputs(&request.admitted);
+            return self.give_up(now, &request, Reason::Shed, inputs, fx);
         }
         self.place(now, request, fx);
     }
 
     /// Handles a failed call on which the request may have run.
-    fn failed(
+    fn handle_failure(
         &mut self,
         now: Instant,
         request: Request<Sent>,
@@ -141,28 +146,28 @@
             && outcome != AttemptOutcome::TimedOut
             && self.quarantined_for(admitted.fingerprint, now).is_none();
         if may_run && self.budget(&service, now).take(now) {
-            let until = now + second_look(&request.admitted);
+            let until = now + retry_window(&request.admitted);
             return self.place(now, request.requeue(until), fx);
         }
-        let grounds = call_grounds(&request.admitted);
+        let inputs = call_inputs(&request.admitted);
         let reason = match outcome {
             AttemptOutcome::Failed => return fx.push(Effect::ForwardFailure(number)),
             AttemptOutcome::TimedOut => Reason::TooLate,
             _ => Reason::BackendLost,
         };
         let refusal = Refusal::after_dispatch(reason, Ran::Unknown);
-        let asked_by = Some(request.admitted.requester());
-        fx.push(refuse(number, asked_by, refusal, grounds));
+        let requester = Some(request.admitted.requester());
+        fx.push(refuse(number, requester, refusal, inputs));
     }
 }
 
 /// Returns the time for which a request may wait for another place after its call did not
 /// succeed: as long as its latency target can still be met.
-fn second_look(admitted: &Admitted) -> Duration {
+fn retry_window(admitted: &Admitted) -> Duration {
     admitted.route.latency_target / 2
 }
 
-fn call_grounds(admitted: &Admitted) -> DecisionInputs {
+fn call_inputs(admitted: &Admitted) -> DecisionInputs {
     DecisionInputs::Call {
         possible_runs: admitted.possible_runs,
         attempted: admitted.attempted.len(),
--- a/crates/jaypin_router/src/router/backend_signals.rs
+++ b/crates/jaypin_router/src/router/backend_signals.rs
@@ -13,18 +13,18 @@
 
 /// Hosts that share the rate limits of backend servers, as known to this host.
 #[derive(Debug)]
-struct Sharers {
+struct LimitSharers {
     /// Hash of this host's name.
     own: u64,
     /// Whether this host is one of them.
-    is_one: bool,
+    is_included: bool,
     /// Hashes of the names of the others.
     others: Vec<u64>,
 }
 
 impl Router {
     /// Applies the signals in a response header.
-    pub(super) fn signalled(
+    pub(super) fn handle_header(
         &mut self,
         now: Instant,
         number: RequestNumber,
@@ -39,25 +39,24 @@
             return;
         };
         if let Some(backoff) = backoff {
-            self.signals
-                .record_backoff(&backend.record, backoff, now);
+            self.signals.record_backoff(&backend.record, backoff, now);
         }
-        let has_news = self.signals.heard(&backend.record, signals, state.at, now);
-        if has_news {
-            self.load_telling.slot_changed(backend.key);
+        let has_changed = self.signals.heard(&backend.record, signals, state.at, now);
+        if has_changed {
+            self.load_report_state.slot_changed(backend.key);
         }
-        if has_news || backoff.is_some() {
+        if has_changed || backoff.is_some() {
             self.apply_signals(now);
         }
     }
 
     /// Applies the signals of backend servers in a peer's report.
-    pub(super) fn heard_of_signals(&mut self, report: &Report, now: Instant) {
-        let mut has_news = false;
-        for told in &report.signals {
-            has_news |= self.signals.apply_peer_report(told, now);
+    pub(super) fn apply_reported_signals(&mut self, report: &Report, now: Instant) {
+        let mut has_changed = false;
+        for reported in &report.signals {
+            has_changed |= self.signals.apply_peer_report(reported, now);
         }
-        if has_news {
+        if has_changed {
             self.apply_signals(now);
         }
     }
@@ -81,7 +80,7 @@
         let sharers = self.sharers(now);
         for backend in self.backends.values_mut() {
             if apply(&self.signals, backend, &sharers, now) {
-                self.views.invalidate();
+                self.stable_subsets.invalidate();
             }
         }
     }
@@ -96,7 +95,7 @@
             return;
         };
         if apply(&self.signals, backend, &sharers, now) {
-            self.views.invalidate();
+            self.stable_subsets.invalidate();
         }
     }
 
@@ -110,7 +109,7 @@
     }
 
     /// Returns why a service has no backend server for a request.
-    pub(super) fn no_place(&self, service: &ServiceId, now: Instant) -> DecisionInputs {
+    pub(super) fn no_backend_inputs(&self, service: &ServiceId, now: Instant) -> DecisionInputs {
         let all = self.backends.values();
         let of_service = all.filter(|it| it.record.service == *service);
         let backing_off = of_service.clone().filter(|it| it.is_backing_off(now));
@@ -121,19 +120,19 @@
     }
 
     /// Returns the hosts to which callers are sent; if there are none, all live hosts.
-    fn sharers(&self, now: Instant) -> Sharers {
-        let heard = self.fleet.live_peers(now);
-        let ready = heard.filter(|(_, peer)| peer.is_ready);
+    fn sharers(&self, now: Instant) -> LimitSharers {
+        let live = self.fleet.live_peers(now);
+        let ready = live.filter(|(_, peer)| peer.is_ready);
         let mut others: Vec<_> = ready.map(|(host, _)| hash(host)).collect();
         others.extend(self.ready_in_other_cells(now));
-        let is_one = self.was_ready || others.is_empty();
+        let is_included = self.was_ready || others.is_empty();
         if others.is_empty() && !self.was_ready {
-            let heard = self.fleet.live_peers(now);
-            others = heard.map(|(host, _)| hash(host)).collect();
+            let live = self.fleet.live_peers(now);
+            others = live.map(|(host, _)| hash(host)).collect();
         }
-        Sharers {
+        LimitSharers {
             own: hash(&self.cfg.host),
-            is_one,
+            is_included,
             others,
         }
     }
@@ -143,37 +142,42 @@
     fn ready_in_other_cells(&self, now: Instant) -> impl Iterator<Item = u64> {
         let callers = self.fleet.other_cell_callers(now);
         let ready: HashSet<_> = callers.map(|address| address.ip()).collect();
-        let found = self.telling.hosts_found();
-        let elsewhere = found.filter(|(host, _)| cell_of(host, self.cells) != self.cell);
+        let known = self.report_state.known_hosts();
+        let elsewhere = known.filter(|(host, _)| cell_of(host, self.cells) != self.cell);
         let elsewhere = elsewhere.filter(move |(_, address)| ready.contains(&address.ip()));
         elsewhere.map(|(host, _)| hash(&host))
     }
 }
 
 /// Applies the signals of one backend server. Returns whether it has just begun to leave.
-fn apply(signals: &SignalTable, backend: &mut Backend, sharers: &Sharers, now: Instant) -> bool {
-    let said = signals.of(&backend.record);
+fn apply(
+    signals: &SignalTable,
+    backend: &mut Backend,
+    sharers: &LimitSharers,
+    now: Instant,
+) -> bool {
+    let stated = signals.of(&backend.record);
     backend.back_off_until(signals.backoff_until(&backend.record));
-    match said.rate_limit {
+    match stated.rate_limit {
         Some(rate) => backend.throttle(sharers.pause(backend, rate), now),
         None => backend.stop_throttling(),
     }
-    let leaves_now = said.is_leaving && backend.is_ready();
+    let leaves_now = stated.is_leaving && backend.is_ready();
     if leaves_now {
         backend.mark_leaving();
     }
     leaves_now
 }
 
-impl Sharers {
+impl LimitSharers {
     fn pause(&self, backend: &Backend, rate: f64) -> Option<Duration> {
-        if !self.is_one {
+        if !self.is_included {
             return None;
         }
         let backend = hash(&backend.record.id);
         let own = pair_score(self.own, backend);
         let others = self.others.iter();
-        let place = others.filter(|it| pair_score(**it, backend) > own).count();
-        pause_at(place, self.others.len() + 1, rate)
+        let position = others.filter(|it| pair_score(**it, backend) > own).count();
+        pause_at(position, self.others.len() + 1, rate)
     }
 }
--- a/crates/jaypin_router/src/router/event.rs
+++ b/crates/jaypin_router/src/router/event.rs
@@ -7,7 +7,8 @@
 use jaypin_core::{BackendId, FailureDomain, HostId, Incarnation, Refusal};
 
 use crate::{
-    Arrival, AttemptOutcome, BackendRecord, BackendSignals, BootTime, DecisionInputs, EntryChange, Report, RequestNumber, Requester, RolloutOrder, RolloutWrite, RouteTable, StoreEra, StorePoint,
+    Arrival, AttemptOutcome, BackendRecord, BackendSignals, BootTime, DecisionInputs, EntryChange,
+    Report, RequestNumber, Requester, RolloutOrder, RolloutWrite, RouteTable, StoreEra, StorePoint,
     Unrouted,
 };
 
@@ -150,7 +151,7 @@
         /// Its address.
         address: String,
         /// Account and rank of the request. The account is named to the backend server.
-        asked_by: Requester,
+        requester: Requester,
         /// Whether the request may run again, and whether its response is a stream that another
         /// backend server can resume.
         repeat: crate::Repeat,
@@ -179,7 +180,7 @@
         /// The request.
         number: RequestNumber,
         /// Account and rank of the request, if they are known.
-        asked_by: Option<Requester>,
+        requester: Option<Requester>,
         /// The refusal that is sent to the caller.
         refusal: Refusal,
         /// Inputs of the decision, for logs and explanations.
--- a/crates/jaypin_router/src/router/telling_loads.rs
+++ b/crates/jaypin_router/src/router/load_reporting.rs
@@ -13,43 +13,42 @@
 /// to the same slot, and the second waits until the first has ended.
 const SLOT_PAUSE: Duration = Duration::from_millis(6);
 /// Time after which an unchanged load is reported again, for hosts that missed a report.
-const REFRESH: Duration = Duration::from_millis(500);
+const REPEAT_PAUSE: Duration = Duration::from_millis(500);
 /// Pause between two reports of the samples of one backend server.
 const SAMPLES_PAUSE: Duration = Duration::from_millis(400);
 /// Number of reports that carry the same samples. One datagram in a hundred is lost, and later
 /// samples make up for it.
-const SAMPLES_TOLD: u32 = 2;
+const SAMPLE_REPORTS: u32 = 2;
 
 /// Stream events that count as much as one ended call when new samples are counted.
-const EVENTS_IN_NEWS: f64 = 16.0;
+const EVENTS_PER_SAMPLE: f64 = 16.0;
 
 /// What was reported of this host's own load.
 #[derive(Debug, Default)]
-pub struct LoadTelling {
-    told: HashMap<BackendKey, Told>,
+pub struct LoadReportState {
+    reported: HashMap<BackendKey, ReportedLoad>,
     changed: BTreeSet<BackendKey>,
     last: Option<Instant>,
 }
 
 /// The last report of one backend server's load.
-
 #[derive(Debug)]
-struct Told {
+struct ReportedLoad {
     load: BackendLoad,
     at: Instant,
     samples_at: Option<Instant>,
     /// Whether new samples are reported without the usual pause.
-    is_pressing: bool,
+    is_urgent: bool,
     /// Count of the samples that were last reported, and the number of reports that carried
     /// them.
-    calls: u32,
-    times: u32,
+    sample_count: u32,
+    times_reported: u32,
 }
 
 /// Counts samples: the ended calls, and one for each group of events.
-fn learned(samples: &BackendSamples) -> u32 {
-    let groups = (samples.events / EVENTS_IN_NEWS).min(f64::from(u32::MAX));
-    samples.good + samples.bad + whole(groups)
+fn count_samples(samples: &BackendSamples) -> u32 {
+    let groups = (samples.events / EVENTS_PER_SAMPLE).min(f64::from(u32::MAX));
+    samples.good + samples.bad + to_whole(groups)
 }
 
 #[expect(
@@ -57,21 +56,21 @@
     clippy::cast_sign_loss,
     reason = "such casts keep to the bounds of the type"
 )]
-fn whole(number: f64) -> u32 {
+fn to_whole(number: f64) -> u32 {
     number as u32
 }
 
-impl LoadTelling {
+impl LoadReportState {
     /// Records that a slot of a backend server was taken or freed.
     pub fn slot_changed(&mut self, key: BackendKey) {
         self.changed.insert(key);
     }
 
     /// Schedules an immediate report of a backend server's samples.
-    pub fn learned_much(&mut self, key: BackendKey) {
+    pub fn report_samples_at_once(&mut self, key: BackendKey) {
         self.changed.insert(key);
-        if let Some(told) = self.told.get_mut(&key) {
-            told.is_pressing = true;
+        if let Some(reported) = self.reported.get_mut(&key) {
+            reported.is_urgent = true;
         }
     }
 
@@ -87,96 +86,102 @@
     }
 
     /// Schedules reports of loads that changed or were not reported for a while.
-    pub fn refresh(&mut self, loads: impl Iterator<Item = (BackendLoad, u32)>, now: Instant) {
-        for (load, calls) in loads {
-            let told = self.told.get(&load.key);
-            let is_news = told.map_or(load.running > 0 || calls > 0, |told| {
-                let is_old = now.saturating_duration_since(told.at) >= REFRESH;
-                told.load.running != load.running
-                    || (is_old && load.running > 0)
-                    || told.has_samples_to_tell(calls, now)
+    pub fn schedule_changed(
+        &mut self,
+        loads: impl Iterator<Item = (BackendLoad, u32)>,
+        now: Instant,
+    ) {
+        for (load, sample_count) in loads {
+            let reported = self.reported.get(&load.key);
+            let needs_report = reported.map_or(load.running > 0 || sample_count > 0, |reported| {
+                let is_outdated = now.saturating_duration_since(reported.at) >= REPEAT_PAUSE;
+                reported.load.running != load.running
+                    || (is_outdated && load.running > 0)
+                    || reported.has_samples_to_report(sample_count, now)
             });
-            if is_news {
+            if needs_report {
                 self.changed.insert(load.key);
             }
         }
     }
 
     /// Forgets backend servers that no longer exist.
-    pub fn keep_only(&mut self, is_known: impl Fn(BackendKey) -> bool) {
-        self.told.retain(|key, _| is_known(*key));
+    pub fn retain(&mut self, is_known: impl Fn(BackendKey) -> bool) {
+        self.reported.retain(|key, _| is_known(*key));
     }
 
     /// Records that a load is reported now, and returns the samples to report with it, if they
     /// are due.
-    fn tell(
+    fn record_report(
         &mut self,
         load: BackendLoad,
         samples: BackendSamples,
         now: Instant,
     ) -> Option<BackendSamples> {
-        let told = self.told.entry(load.key).or_insert(Told {
+        let reported = self.reported.entry(load.key).or_insert(ReportedLoad {
             load,
             at: now,
             samples_at: None,
-            is_pressing: false,
-            calls: 0,
-            times: 0,
+            is_urgent: false,
+            sample_count: 0,
+            times_reported: 0,
         });
-        told.load = load;
-        told.at = now;
-        let calls = learned(&samples);
-        let is_pressing = std::mem::take(&mut told.is_pressing);
-        if !is_pressing && !told.has_samples_to_tell(calls, now) {
+        reported.load = load;
+        reported.at = now;
+        let sample_count = count_samples(&samples);
+        let is_urgent = std::mem::take(&mut reported.is_urgent);
+        if !is_urgent && !reported.has_samples_to_report(sample_count, now) {
             return None;
         }
-        if told.calls != calls {
-            told.calls = calls;
-            told.times = 0;
+        if reported.sample_count != sample_count {
+            reported.sample_count = sample_count;
+            reported.times_reported = 0;
         }
-        told.times += 1;
-        told.samples_at = Some(now);
+        reported.times_reported += 1;
+        reported.samples_at = Some(now);
         Some(samples)
     }
 }
 
-impl Told {
-    fn has_samples_to_tell(&self, calls: u32, now: Instant) -> bool {
-        let is_new = self.calls != calls || self.times < SAMPLES_TOLD;
+impl ReportedLoad {
+    fn has_samples_to_report(&self, sample_count: u32, now: Instant) -> bool {
+        let is_new = self.sample_count != sample_count || self.times_reported < SAMPLE_REPORTS;
         let is_time = |at: Instant| now.saturating_duration_since(at) >= SAMPLES_PAUSE;
-        calls > 0 && is_new && self.samples_at.is_none_or(is_time)
+        sample_count > 0 && is_new && self.samples_at.is_none_or(is_time)
     }
 }
 
 impl Router {
     /// Sends changed loads to the hosts that use the same backend servers, if a report is due.
-    pub(super) fn tell_loads(&mut self, now: Instant, fx: &mut Vec<Effect>) {
-        if self.last_boot_time.is_none() || !self.load_telling.is_due(now) {
+    pub(super) fn send_load_reports(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+        if self.last_boot_time.is_none() || !self.load_report_state.is_due(now) {
             return;
         }
-        self.refresh_views();
-        self.load_telling.last = Some(now);
-        let changed = std::mem::take(&mut self.load_telling.changed);
-        let mut by_hearers: BTreeMap<Vec<SocketAddr>, Vec<BackendKey>> = BTreeMap::new();
+        self.refresh_subsets();
+        self.load_report_state.last = Some(now);
+        let changed = std::mem::take(&mut self.load_report_state.changed);
+        let mut by_recipients: BTreeMap<Vec<SocketAddr>, Vec<BackendKey>> = BTreeMap::new();
         for key in changed {
             let Some(backend) = self.backends.by_key(key) else {
                 continue;
             };
-            let to = self.hearers(&backend.record, now);
-            by_hearers.entry(to).or_default().push(key);
+            let to = self.load_report_addresses(&backend.record, now);
+            by_recipients.entry(to).or_default().push(key);
         }
-        by_hearers.remove(&Vec::new());
-        for (to, keys) in by_hearers {
+        by_recipients.remove(&Vec::new());
+        for (to, keys) in by_recipients {
             let report = Box::new(self.load_report(&keys, now));
             fx.push(Effect::SendReport { to, report });
         }
     }
 
     fn load_report(&mut self, keys: &[BackendKey], now: Instant) -> Report {
-        let mut report = self.empty_report();
+        let mut report = self.new_report();
         for backend in keys.iter().filter_map(|key| self.backends.by_key(*key)) {
             let load = backend.own_load();
-            let samples = self.load_telling.tell(load, backend.samples(), now);
+            let samples = self
+                .load_report_state
+                .record_report(load, backend.samples(), now);
             report.loads.push(load);
             report
                 .signals
@@ -192,23 +197,23 @@
         let all = self.backends.values();
         let loads = all.map(|it| {
             let samples = it.samples();
-            (it.own_load(), learned(&samples))
+            (it.own_load(), count_samples(&samples))
         });
-        self.load_telling.refresh(loads, now);
+        self.load_report_state.schedule_changed(loads, now);
         let backends = &self.backends;
         let is_known = |key| backends.by_key(key).is_some();
-        self.load_telling.keep_only(is_known);
+        self.load_report_state.retain(is_known);
     }
 
     /// Returns the report addresses of the other hosts that use a backend server, except for
     /// silent ones.
-    fn hearers(&self, record: &BackendRecord, now: Instant) -> Vec<SocketAddr> {
-        let Some(views) = self.views_of(record) else {
+    fn load_report_addresses(&self, record: &BackendRecord, now: Instant) -> Vec<SocketAddr> {
+        let Some(subsets) = self.subsets_of(record) else {
             return Vec::new();
         };
-        let Some(mut users) = views.peers_using(&record.service, &record.id) else {
-            let heard = self.fleet.live_peers(now);
-            return heard.map(|(_, peer)| peer.address).collect();
+        let Some(mut users) = subsets.peers_using(&record.service, &record.id) else {
+            let live = self.fleet.live_peers(now);
+            return live.map(|(_, peer)| peer.address).collect();
         };
         let silent: HashSet<_> = self.fleet.silent_addresses(now).collect();
         users.retain(|address| !silent.contains(address));
--- a/crates/jaypin_router/src/router/mod.rs
+++ b/crates/jaypin_router/src/router/mod.rs
@@ -4,14 +4,14 @@
 mod attempt;
 mod backend_signals;
 mod event;
-mod knowledge;
-mod lapse;
+mod load_reporting;
+mod missing_entries;
 mod placing;
+mod reporting;
 mod rollouts;
 mod snapshot;
 mod store_era;
-mod telling;
-mod telling_loads;
+mod updates;
 mod watching;
 
 pub use event::{Bounds, Effect, Event, ExposureBound, RouterConfig, RouterCounts};
@@ -27,15 +27,15 @@
 
 use crate::request::{Request, Sent};
 use crate::{
-    AccountArrivals, ArrivalRates, Backend, BackendSignals, BackendSubsets, BackendTable, BootTime, CellIndex, Entries,
-    Fleet, FleetQuota, MinimumShares, PeerLoads, RequestNumber, ResendBudget, Rollouts, RouteTable,
-    SignalTable, Sizes, SlowAnswerDetector, WaitingList,
+    AccountArrivals, ArrivalRates, Backend, BackendSignals, BackendSubsets, BackendTable, BootTime,
+    CellIndex, Entries, Fleet, FleetQuota, MinimumShares, PeerLoads, RequestNumber, ResendBudget,
+    Rollouts, RouteTable, SignalTable, Sizes, SlowAnswerDetector, WaitingList,
 };
-use lapse::Vanished;
+use load_reporting::LoadReportState;
+use missing_entries::MissingEntries;
+use reporting::ReportState;
 use store_era::KnownEra;
-use telling::Telling;
-use telling_loads::LoadTelling;
-use watching::Heard;
+use watching::ReportedStore;
 
 /// Longest pause between two ticks, which applies when nothing is due earlier.
 const LONGEST_TICK: Duration = Duration::from_millis(100);
@@ -52,39 +52,39 @@
     /// When the configuration was last known to be the newest, by the store or a peer.
     proved_at: Option<BootTime>,
     /// When the store itself last confirmed this to this host.
-    own_proof: Option<BootTime>,
+    own_proved_at: Option<BootTime>,
     /// Whether the most recent call to the store failed.
-    is_turned_away: bool,
+    last_store_call_failed: bool,
     /// Latest reading of the boot clock, which also counts time while the host is suspended.
     last_boot_time: Option<BootTime>,
-    heard: Heard,
+    reported_store: ReportedStore,
     entries: Entries,
     cell: CellIndex,
     cells: u32,
     /// Backend servers with a stable version that this host uses.
-    views: BackendSubsets,
+    stable_subsets: BackendSubsets,
     /// Backend servers with a canary version that this host uses.
-    trial_views: BackendSubsets,
+    canary_subsets: BackendSubsets,
     rollouts: Rollouts,
     slow_answers: SlowAnswerDetector,
     backends: BackendTable,
     signals: SignalTable,
-    vanished: Vanished,
+    missing_entries: MissingEntries,
     era: KnownEra,
     fleet: Fleet,
     peer_loads: PeerLoads,
     quota: FleetQuota,
     budgets: HashMap<ServiceId, ResendBudget>,
-    residence: HashMap<ServiceId, Duration>,
+    hold_times: HashMap<ServiceId, Duration>,
     sizes: Sizes,
-    asked: ArrivalRates,
-    floors: MinimumShares,
-    account_asked: AccountArrivals,
+    arrival_rates: ArrivalRates,
+    minimum_shares: MinimumShares,
+    account_arrivals: AccountArrivals,
     quarantine: Quarantine,
     waiting: WaitingList,
     sent: HashMap<RequestNumber, Request<Sent>>,
-    telling: Telling,
-    load_telling: LoadTelling,
+    report_state: ReportState,
+    load_report_state: LoadReportState,
     /// Time of the last refresh of peers, cells and loads.
     refreshed_at: Option<Instant>,
     /// Time of the first event.
@@ -92,7 +92,7 @@
     draining_since: Option<Instant>,
     was_ready: bool,
     /// When waiting requests check again for a free slot.
-    look_at: Option<Instant>,
+    next_placement_at: Option<Instant>,
 }
 
 impl Router {
@@ -103,40 +103,40 @@
             rng: ChaCha8Rng::seed_from_u64(cfg.seed),
             table: None,
             proved_at: None,
-            own_proof: None,
-            is_turned_away: false,
+            own_proved_at: None,
+            last_store_call_failed: false,
             last_boot_time: None,
-            heard: Heard::default(),
+            reported_store: ReportedStore::default(),
             entries: Entries::default(),
             cell: 0,
             cells: 1,
-            views: BackendSubsets::default(),
-            trial_views: BackendSubsets::default(),
+            stable_subsets: BackendSubsets::default(),
+            canary_subsets: BackendSubsets::default(),
             rollouts: Rollouts::default(),
             slow_answers: SlowAnswerDetector::default(),
             backends: BackendTable::default(),
             signals: SignalTable::default(),
-            vanished: Vanished::default(),
+            missing_entries: MissingEntries::default(),
             era: KnownEra::default(),
             fleet: Fleet::default(),
             peer_loads: PeerLoads::default(),
             quota: FleetQuota::new(cfg.bounds.quota_window, cfg.bounds.quota_slack),
             budgets: HashMap::new(),
-            residence: HashMap::new(),
+            hold_times: HashMap::new(),
             sizes: Sizes::default(),
-            asked: ArrivalRates::default(),
-            floors: MinimumShares::default(),
-            account_asked: AccountArrivals::default(),
+            arrival_rates: ArrivalRates::default(),
+            minimum_shares: MinimumShares::default(),
+            account_arrivals: AccountArrivals::default(),
             quarantine: Quarantine::default(),
             waiting: WaitingList::default(),
             sent: HashMap::new(),
-            telling: Telling::default(),
-            load_telling: LoadTelling::default(),
+            report_state: ReportState::default(),
+            load_report_state: LoadReportState::default(),
             refreshed_at: None,
             started_at: None,
             draining_since: None,
             was_ready: false,
-            look_at: None,
+            next_placement_at: None,
             cfg,
         }
     }
@@ -148,38 +148,42 @@
         let mut fx = Vec::new();
         self.started_at.get_or_insert(now);
         match event {
-            Event::ConfigurationLoaded(table) => self.configured(table, now),
-            Event::ConfigurationProved(at) => self.proved(at),
-            Event::ConfirmedByPeer(at) => self.vouched(at),
-            Event::StoreCallFailed => self.store_disturbed(now),
+            Event::ConfigurationLoaded(table) => self.apply_configuration(table, now),
+            Event::ConfigurationProved(at) => self.record_proof(at),
+            Event::ConfirmedByPeer(at) => self.record_peer_confirmation(at),
+            Event::StoreCallFailed => self.record_store_failure(now),
             Event::BackendsListed { entries, point } => {
-                self.backends_listed(entries, point, now);
+                self.apply_backend_list(entries, point, now);
             }
-            Event::StoreEra(era) => self.store_stated_era(era, now),
-            Event::BackendChanged(change) => self.backend_told(change, now),
-            Event::EntriesTransferred(entries) => self.entries_handed(entries, now),
-            Event::Arrived(arrival) => self.arrived(now, &arrival, &mut fx),
+            Event::StoreEra(era) => self.record_stated_era(era, now),
+            Event::BackendChanged(change) => self.apply_store_change(change, now),
+            Event::EntriesTransferred(entries) => self.apply_entry_snapshot(entries, now),
+            Event::Arrived(arrival) => self.handle_arrival(now, &arrival, &mut fx),
             Event::HeaderReceived {
                 number,
                 signals,
                 backoff,
-            } => self.signalled(now, number, signals, backoff),
-            Event::ResponseStarted(number) => self.answered(now, number),
+            } => self.handle_header(now, number, signals, backoff),
+            Event::ResponseStarted(number) => self.handle_response_start(now, number),
             Event::Streamed {
                 number,
                 events,
                 time,
-            } => self.streamed(number, events, time),
-            Event::AttemptEnded { number, outcome } => self.ended(now, number, outcome, &mut fx),
-            Event::CallerDisconnected(number) => self.caller_gone(number),
-            Event::HostsListed(hosts) => self.hosts_found(hosts, now),
-            Event::ReportReceived { report, boot_time } => self.reported(now, *report, boot_time),
-            Event::RolloutOrderRead(order) => self.rollout_told(order, now),
-            Event::Drain => self.drain(now, &mut fx),
+            } => self.handle_stream_events(number, events, time),
+            Event::AttemptEnded { number, outcome } => {
+                self.handle_attempt_end(now, number, outcome, &mut fx);
+            }
+            Event::CallerDisconnected(number) => self.handle_caller_disconnect(number),
+            Event::HostsListed(hosts) => self.apply_host_list(hosts, now),
+            Event::ReportReceived { report, boot_time } => {
+                self.handle_report(now, *report, boot_time);
+            }
+            Event::RolloutOrderRead(order) => self.apply_stored_order(order, now),
+            Event::Drain => self.start_draining(now, &mut fx),
             Event::Tick(boot_time) => self.tick(now, boot_time, &mut fx),
         }
-        self.tell(now, false, &mut fx);
-        self.tell_loads(now, &mut fx);
+        self.send_report(now, false, &mut fx);
+        self.send_load_reports(now, &mut fx);
         fx
     }
 
@@ -188,11 +192,11 @@
     pub fn next_tick(&self, now: Instant) -> Instant {
         let latest = now + LONGEST_TICK;
         let soonest = [
-            self.telling.due_at(),
-            self.load_telling.due_at(),
-            self.look_at,
+            self.report_state.due_at(),
+            self.load_report_state.due_at(),
+            self.next_placement_at,
             self.waiting.next_expiry(),
-            self.vanished.next_due(),
+            self.missing_entries.next_due(),
         ];
         let soonest = soonest.into_iter().flatten().min();
         soonest.map_or(latest, |at| at.clamp(now, latest))
@@ -285,26 +289,26 @@
         let is_ready = self.is_ready(boot_time);
         if is_ready != self.was_ready {
             self.was_ready = is_ready;
-            self.telling.has_news();
+            self.report_state.report_soon();
         }
-        self.drop_vanished(now);
-        self.judge_deaths(now);
+        self.drop_missing_backends(now);
+        self.update_quarantines(now);
         let is_time = |at: Instant| now.saturating_duration_since(at) >= REFRESH_PAUSE;
         if self.refreshed_at.is_none_or(is_time) {
             self.refreshed_at = Some(now);
-            self.refresh_found(now);
+            self.forget_silent_hosts(now);
             self.refresh_peers(now);
             self.refresh_cells();
             self.refresh_own_loads(now);
             self.refresh_signals(now);
-            self.judge_rollouts(now, boot_time, fx);
+            self.evaluate_rollouts(now, boot_time, fx);
         }
         self.place_waiting(now, fx);
     }
 
-    fn drain(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    fn start_draining(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.draining_since.get_or_insert(now);
         self.was_ready = false;
-        self.tell(now, true, fx);
+        self.send_report(now, true, fx);
     }
 }
--- a/crates/jaypin_router/src/router/placing.rs
+++ b/crates/jaypin_router/src/router/placing.rs
@@ -5,7 +5,7 @@
 use jaypin_core::{Reason, Refusal, ServiceId};
 use rand::RngExt;
 
-use super::arrival::{FIRST_PLAIN_RESIDENCE, refuse};
+use super::arrival::{INITIAL_PLAIN_HOLD_TIME, refuse};
 use super::{Effect, Router};
 use crate::come_back::capacity_retry_after;
 use crate::limits::{
@@ -17,56 +17,57 @@
 
 /// Number of reserved slots below which none is reserved, since hardly any urgent requests
 /// arrive.
-const LEAST_KEPT: f64 = 0.1;
+const MIN_RESERVED_SLOTS: f64 = 0.1;
 /// Pause between two placement attempts of waiting requests while no slot is reported to be
 /// free.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const PLACEMENT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Fraction of the service's shortest latency target within which a backend server must free its
 /// next slot so that no slot has to be reserved there.
 ///
 /// Such a short queue delays no one: the most urgent requests may wait three times as long, so
 /// they still find a place behind it.
-const QUICK_TURN_PART: f64 = 0.05;
+const QUICK_TURN_FRACTION: f64 = 0.05;
 
 impl Router {
     /// Sends a request, keeps it waiting, or gives it up.
     pub(super) fn place(&mut self, now: Instant, request: Request<Waiting>, fx: &mut Vec<Effect>) {
-        self.refresh_views();
+        self.refresh_subsets();
         if now >= request.admitted.deadline {
             return self.give_up(now, &request, Reason::TooLate, DecisionInputs::Deadline, fx);
         }
-        let is_over = now >= request.state.until;
-        let tightness = self.tightness(&request.admitted, now);
-        let in_force = self.choose(&request.admitted, tightness.as_ref(), now);
-        if let Some(choice) = self.trial_place(&request.admitted, in_force.as_ref(), now) {
+        let has_waited_out = now >= request.state.until;
+        let shortage = self.slot_shortage(&request.admitted, now);
+        let stable = self.choose(&request.admitted, shortage.as_ref(), now);
+        if let Some(choice) = self.canary_place(&request.admitted, stable.as_ref(), now) {
             let limit = self.limit(&request.admitted, &choice, now);
-            let grounds = self.grounds_of(&choice, limit, slot_wait_limit(&request.admitted));
-            return self.send(now, request, choice, grounds, fx);
+            let inputs = self.placement_inputs(&choice, limit, slot_wait_limit(&request.admitted));
+            return self.send(now, request, choice, inputs, fx);
         }
-        let Some(choice) = in_force else {
-            if is_over {
-                let grounds = self.no_place(&request.admitted.service, now);
-                return self.give_up(now, &request, Reason::NoBackend, grounds, fx);
+        let Some(choice) = stable else {
+            if has_waited_out {
+                let inputs = self.no_backend_inputs(&request.admitted.service, now);
+                return self.give_up(now, &request, Reason::NoBackend, inputs, fx);
             }
             return self.keep_waiting(request, now);
         };
         let limit = self.limit(&request.admitted, &choice, now);
         let slot_limit = slot_wait_limit(&request.admitted);
-        let kept = tightness.filter(|it| !it.spares(&choice));
-        let has_room = kept.is_none();
+        let shortage = shortage.filter(|it| !it.allows(&choice));
+        let has_room = shortage.is_none();
         let is_in_time = has_room && is_in_time(&choice, limit, slot_limit);
-        let is_resort = is_over && has_room && is_last_resort(&request.admitted, &choice, now);
-        let grounds = match kept {
+        let is_last_resort_place =
+            has_waited_out && has_room && is_last_resort(&request.admitted, &choice, now);
+        let inputs = match shortage {
             Some(it) => DecisionInputs::Reserved {
                 free: it.free,
-                kept: it.kept,
+                kept: it.reserved,
             },
-            None => self.grounds_of(&choice, limit, slot_limit),
+            None => self.placement_inputs(&choice, limit, slot_limit),
         };
-        if is_in_time || is_resort {
-            self.send(now, request, choice, grounds, fx);
-        } else if is_over {
-            self.give_up(now, &request, Reason::Shed, grounds, fx);
+        if is_in_time || is_last_resort_place {
+            self.send(now, request, choice, inputs, fx);
+        } else if has_waited_out {
+            self.give_up(now, &request, Reason::Shed, inputs, fx);
         } else {
             self.keep_waiting(request, now);
         }
@@ -78,13 +79,13 @@
     /// prompt or that its cooldown has ended.
     fn keep_waiting(&mut self, request: Request<Waiting>, now: Instant) {
         self.waiting.push(request);
-        let at = now + LOOK_PAUSE;
-        self.look_at = Some(self.look_at.map_or(at, |earlier| earlier.min(at)));
+        let at = now + PLACEMENT_RETRY_PAUSE;
+        self.next_placement_at = Some(self.next_placement_at.map_or(at, |earlier| earlier.min(at)));
     }
 
     /// Attempts to place all waiting requests, the most urgent first.
     pub(super) fn place_waiting(&mut self, now: Instant, fx: &mut Vec<Effect>) {
-        self.look_at = None;
+        self.next_placement_at = None;
         if self.waiting.is_empty() {
             return;
         }
@@ -96,28 +97,42 @@
     fn choose(
         &mut self,
         admitted: &Admitted,
-        tightness: Option<&Tightness>,
+        shortage: Option<&SlotShortage>,
         now: Instant,
     ) -> Option<Choice> {
         let demand = self.demand(admitted, now);
         let mut rng = self.rng.clone();
-        let mut turn = || rng.random_range(0.0..1.0);
+        let mut random = || rng.random_range(0.0..1.0);
         let slot_limit = slot_wait_limit(admitted);
         let serves = |backend: &Backend, choice: &Choice| {
             let limit = limit_at(backend, admitted, now);
-            is_in_time(choice, limit, slot_limit) && tightness.is_none_or(|it| it.spares(choice))
+            is_in_time(choice, limit, slot_limit) && shortage.is_none_or(|it| it.allows(choice))
         };
-        let ours = self.ours(&admitted.service);
-        let choice = best_place(ours, &demand, &admitted.attempted, serves, &mut turn, now)
-            // If none of its own backend servers is left, the host uses those of the other
-            // hosts.
-            .or_else(|| {
-                let all = self.backends.values();
-                let of_service = all.filter(|it| it.record.service == admitted.service);
-                let of_service =
-                    of_service.filter(|it| self.role_of(&it.record) == VersionRole::InForce);
-                best_place(of_service, &demand, &admitted.attempted, serves, &mut turn, now,)
-            });
+        let subset = self.subset_backends(&admitted.service);
+        let choice = best_place(
+            subset,
+            &demand,
+            &admitted.attempted,
+            serves,
+            &mut random,
+            now,
+        )
+        // If none of its own backend servers is left, the host uses those of the other
+        // hosts.
+        .or_else(|| {
+            let all = self.backends.values();
+            let of_service = all.filter(|it| it.record.service == admitted.service);
+            let of_service =
+                of_service.filter(|it| self.role_of(&it.record) == VersionRole::Stable);
+            best_place(
+                of_service,
+                &demand,
+                &admitted.attempted,
+                serves,
+                &mut random,
+                now,
+            )
+        });
         self.rng = rng;
         choice
     }
@@ -128,7 +143,7 @@
             prompt_tokens: admitted.prompt_tokens,
             latency_target: admitted.route.latency_target,
             longest_pause: admitted.route.longest_pause,
-            hold_time: self.residence_of(&admitted.service),
+            hold_time: self.hold_time_of(&admitted.service),
             events: admitted.expected_events,
             time_left: admitted.deadline.saturating_duration_since(now),
         }
@@ -136,54 +151,61 @@
 
     /// Returns the shortage of slots, if so few are free that more urgent requests need them
     /// all.
-    fn tightness(&self, admitted: &Admitted, now: Instant) -> Option<Tightness> {
+    fn slot_shortage(&self, admitted: &Admitted, now: Instant) -> Option<SlotShortage> {
         if admitted.is_started {
             return None;
         }
         let service = service_key(&admitted.service);
-        if self.floors.is_behind(service, admitted.rank) {
+        if self.minimum_shares.is_behind(service, admitted.rank) {
             return None;
         }
         let of_cell = if is_long(admitted) {
-            self.asked.rate_at_or_above(service, admitted.rank, now)
+            self.arrival_rates
+                .rate_at_or_above(service, admitted.rank, now)
         } else {
-            self.asked.rate_above(service, admitted.rank, now)
+            self.arrival_rates.rate_above(service, admitted.rank, now)
         };
-        let kept = reserved_slots(of_cell * self.share_of_asked(&admitted.service));
-        if kept < LEAST_KEPT {
+        let reserved = reserved_slots(of_cell * self.arrival_share(&admitted.service));
+        if reserved < MIN_RESERVED_SLOTS {
             return None;
         }
         let free = self.free_slots(&admitted.service, now);
-        let quick = self.least_aim(admitted).mul_f64(QUICK_TURN_PART);
-        (f64::from(free) <= kept).then_some(Tightness { free, kept, quick })
+        let quick_turn = self
+            .shortest_latency_target(admitted)
+            .mul_f64(QUICK_TURN_FRACTION);
+        (f64::from(free) <= reserved).then_some(SlotShortage {
+            free,
+            reserved,
+            quick_turn,
+        })
     }
 
     /// Returns the shortest latency target of all routes to the service of a request.
-    fn least_aim(&self, admitted: &Admitted) -> Duration {
-        let aim = admitted.route.latency_target;
+    fn shortest_latency_target(&self, admitted: &Admitted) -> Duration {
+        let own_target = admitted.route.latency_target;
         let table = self.table.as_ref();
-        let least = table.and_then(|it| it.shortest_latency_target(&admitted.service));
-        least.map_or(aim, |least| least.min(aim))
+        let shortest = table.and_then(|it| it.shortest_latency_target(&admitted.service));
+        shortest.map_or(own_target, |shortest| shortest.min(own_target))
     }
 
     /// Returns the backend servers of a service that this host uses.
-    fn ours(&self, service: &ServiceId) -> impl Iterator<Item = &Backend> {
-        let ours = self.views.own_subset(service).iter();
-        ours.filter_map(|id| self.backends.get(id))
+    fn subset_backends(&self, service: &ServiceId) -> impl Iterator<Item = &Backend> {
+        let subset = self.stable_subsets.own_subset(service).iter();
+        subset.filter_map(|id| self.backends.get(id))
     }
 
     /// Returns the number of free slots on the backend servers of a service that this host uses.
     fn free_slots(&self, service: &ServiceId, now: Instant) -> u32 {
-        let usable = self.ours(service);
+        let usable = self.subset_backends(service);
         let usable = usable.filter(|it| it.accepts_requests(now) && !it.is_unhealthy(now));
         usable
             .map(|it| it.record.slots.saturating_sub(it.running()))
             .sum()
     }
 
-    fn residence_of(&self, service: &ServiceId) -> Duration {
-        let known = self.residence.get(service);
-        known.copied().unwrap_or(FIRST_PLAIN_RESIDENCE)
+    fn hold_time_of(&self, service: &ServiceId) -> Duration {
+        let known = self.hold_times.get(service);
+        known.copied().unwrap_or(INITIAL_PLAIN_HOLD_TIME)
     }
 
     /// Returns the time that the first event may take on the chosen backend server.
@@ -192,7 +214,12 @@
         backend.map_or_else(Duration::default, |it| limit_at(it, admitted, now))
     }
 
-    fn grounds_of(&self, choice: &Choice, limit: Duration, slot_limit: Duration) -> DecisionInputs {
+    fn placement_inputs(
+        &self,
+        choice: &Choice,
+        limit: Duration,
+        slot_limit: Duration,
+    ) -> DecisionInputs {
         let backend = self.backends.get(&choice.backend);
         DecisionInputs::Place {
             first_event: choice.first_event,
@@ -203,7 +230,7 @@
             tokens_ahead: choice.tokens_ahead,
             time_fraction: choice.time_fraction,
             is_unhealthy: choice.is_unhealthy,
-            version: backend.and_then(|it| self.trial_version(&it.record)),
+            version: backend.and_then(|it| self.canary_version(&it.record)),
         }
     }
 
@@ -212,31 +239,30 @@
         now: Instant,
         request: Request<Waiting>,
         choice: Choice,
-        grounds: DecisionInputs,
+        inputs: DecisionInputs,
         fx: &mut Vec<Effect>,
     ) {
         let Some(backend) = self.backends.get_mut(&choice.backend) else {
-            return self.give_up(now, &request, Reason::NoBackend, grounds, fx);
+            return self.give_up(now, &request, Reason::NoBackend, inputs, fx);
         };
         let admitted = &request.admitted;
         let (number, tokens) = (admitted.number, admitted.prompt_tokens);
         backend.record_sent(number, tokens, choice.first_event, now);
-        self.load_telling.slot_changed(backend.key);
+        self.load_report_state.slot_changed(backend.key);
         let record = backend.record.clone();
         self.count_exposure(&record);
         let service = service_key(&admitted.service);
-        self.floors.record_sent(service, admitted.rank);
+        self.minimum_shares.record_sent(service, admitted.rank);
         fx.push(Effect::Send {
             number,
             backend: choice.backend.clone(),
             address: record.address,
-            asked_by: admitted.requester(),
+            requester: admitted.requester(),
             repeat: admitted.route.repeat,
             first_event_timeout: first_event_timeout(admitted, &choice),
             stall_timeout: longest_pause(&admitted.route),
             deadline: admitted.deadline,
-            inputs:
-            grounds,
+            inputs,
         });
         let sent = request.send(Sent {
             backend: choice.backend,
@@ -255,7 +281,7 @@
         now: Instant,
         request: &Request<Waiting>,
         reason: Reason,
-        grounds: DecisionInputs,
+        inputs: DecisionInputs,
         fx: &mut Vec<Effect>,
     ) {
         let admitted = &request.admitted;
@@ -263,41 +289,41 @@
         if admitted.possible_runs > 0 {
             return fx.push(Effect::ForwardFailure(number));
         }
-        self.give_back(admitted);
-        let back = capacity_retry_after(&admitted.route, &mut self.rng);
-        let back = back + self.backoff_left(&admitted.service, now);
-        let refusal = Refusal::not_run(reason).retry_after(back);
-        fx.push(refuse(number, Some(admitted.requester()), refusal, grounds));
+        self.refund_quota(admitted);
+        let delay = capacity_retry_after(&admitted.route, &mut self.rng);
+        let delay = delay + self.backoff_left(&admitted.service, now);
+        let refusal = Refusal::not_run(reason).retry_after(delay);
+        fx.push(refuse(number, Some(admitted.requester()), refusal, inputs));
     }
 
-    pub(super) fn give_back(&mut self, admitted: &Admitted) {
+    pub(super) fn refund_quota(&mut self, admitted: &Admitted) {
         if let Some(account) = &admitted.account {
             self.quota.give_back(account, admitted.units);
         }
     }
 
-    pub(super) fn caller_gone(&mut self, number: RequestNumber) {
+    pub(super) fn handle_caller_disconnect(&mut self, number: RequestNumber) {
         if let Some(request) = self.waiting.remove(number) {
-            self.give_back(&request.admitted);
+            self.refund_quota(&request.admitted);
         }
     }
 }
 
 /// A shortage of slots while more urgent requests are expected.
 #[derive(Debug, Clone, Copy)]
-struct Tightness {
+struct SlotShortage {
     free: u32,
     /// Slots reserved for these requests.
-    kept: f64,
+    reserved: f64,
     /// Time within which a backend server must free a slot so that no slot is reserved there.
-    quick: Duration,
+    quick_turn: Duration,
 }
 
-impl Tightness {
+impl SlotShortage {
     /// Returns whether the chosen backend server frees slots so fast that none is reserved
     /// there.
-    fn spares(&self, choice: &Choice) -> bool {
-        choice.slot_interval <= self.quick && choice.slot_wait <= self.quick
+    fn allows(&self, choice: &Choice) -> bool {
+        choice.slot_interval <= self.quick_turn && choice.slot_wait <= self.quick_turn
     }
 }
 
--- a/crates/jaypin_router/src/router/telling.rs
+++ b/crates/jaypin_router/src/router/reporting.rs
@@ -20,7 +20,7 @@
 /// Pause between two whole reports, which make up for lost reports.
 const WHOLE_PAUSE: Duration = Duration::from_millis(400);
 /// Pause between two rounds of reports to other cells. Each round goes to one host of each cell.
-const CROSS_PAUSE: Duration = Duration::from_millis(500);
+const OTHER_CELLS_PAUSE: Duration = Duration::from_millis(500);
 /// Pause between two reports to a host that is silent, or was discovered but has never reported.
 const SILENT_PAUSE: Duration = Duration::from_secs(1);
 /// The same after a longer silence.
@@ -29,44 +29,47 @@
 const LONG_SILENCE: Duration = Duration::from_secs(30);
 /// Silence after which a host gets no more reports. It is longer than any network partition,
 /// since two parts of a fleet that had both stopped reporting would not find each other again.
-const FOUND_FOR: Duration = Duration::from_mins(15);
+const FORGET_AFTER: Duration = Duration::from_mins(15);
 /// Number of suspected contents in one report; more would not fit into a datagram.
-const STRIKES_TOLD: usize = 16;
+const MAX_REPORTED_CONTENTS: usize = 16;
 
 /// When reports were sent and what they contained, and the hosts that may receive them.
 #[derive(Debug, Default)]
-pub struct Telling {
+pub struct ReportState {
     sequence: u64,
-    last: Option<Instant>,
+    last_sent: Option<Instant>,
     last_whole: Option<Instant>,
-    last_cross: Option<Instant>,
-    told_usage: HashMap<AccountId, f64>,
-    has_news: bool,
+    last_to_other_cells: Option<Instant>,
+    reported_usage: HashMap<AccountId, f64>,
+    has_changes: bool,
     is_urgent: bool,
-    found: BTreeMap<SocketAddr, Found>,
-    knows_hosts: bool,
+    known_hosts: BTreeMap<SocketAddr, KnownHost>,
+    has_host_list: bool,
 }
 
 /// A host that may be in the fleet.
-
 #[derive(Debug, Default)]
-struct Found {
+struct KnownHost {
     host: Option<HostId>,
     is_registered: bool,
     /// When the host last reported; before its first report, when it was discovered.
-    since: Option<Instant>,
+    last_live_at: Option<Instant>,
     /// When a report was last sent to it while it was silent.
-    told_at: Option<Instant>,
+    sent_at: Option<Instant>,
 }
 
-impl Found {
+impl KnownHost {
     fn is_recent(&self, now: Instant) -> bool {
-        let age = self.since.map(|since| now.saturating_duration_since(since));
+        let age = self
+            .last_live_at
+            .map(|last_live_at| now.saturating_duration_since(last_live_at));
         age.is_none_or(|age| age < PEER_EXPIRY)
     }
 
     fn pause(&self, now: Instant) -> Duration {
-        let silence = self.since.map(|since| now.saturating_duration_since(since));
+        let silence = self
+            .last_live_at
+            .map(|last_live_at| now.saturating_duration_since(last_live_at));
         if silence.is_some_and(|silence| silence >= LONG_SILENCE) {
             LONG_SILENT_PAUSE
         } else {
@@ -75,83 +78,85 @@
     }
 }
 
-impl Telling {
+impl ReportState {
     /// Records a host that may be in the fleet. Returns whether it was unknown.
-    pub fn found(&mut self, host: HostId, address: SocketAddr) -> bool {
-        let found = self.found.entry(address).or_default();
-        found.host.replace(host.clone()) != Some(host)
+    pub fn add_host(&mut self, host: HostId, address: SocketAddr) -> bool {
+        let known_hosts = self.known_hosts.entry(address).or_default();
+        known_hosts.host.replace(host.clone()) != Some(host)
     }
 
     /// Records that the store lists a host with this report address.
-    pub fn registered(&mut self, address: SocketAddr) {
-        self.found.entry(address).or_default().is_registered = true;
+    pub fn mark_registered(&mut self, address: SocketAddr) {
+        self.known_hosts.entry(address).or_default().is_registered = true;
     }
 
     /// Returns whether the store lists a host with this report address.
     #[must_use]
     pub fn is_registered(&self, address: &SocketAddr) -> bool {
-        self.found.get(address).is_some_and(|it| it.is_registered)
+        self.known_hosts
+            .get(address)
+            .is_some_and(|it| it.is_registered)
     }
 
     /// Returns whether the store lists a host with this IP address.
     #[must_use]
     pub fn has_registered(&self, address: IpAddr) -> bool {
-        let mut found = self.found.iter();
-        found.any(|(at, it)| it.is_registered && at.ip() == address)
+        let mut known_hosts = self.known_hosts.iter();
+        known_hosts.any(|(at, it)| it.is_registered && at.ip() == address)
     }
 
     /// Returns the known hosts with their report addresses.
-    pub fn hosts_found(&self) -> impl Iterator<Item = (HostId, SocketAddr)> {
-        let found = self.found.iter();
-        found.filter_map(|(address, it)| Some((it.host.clone()?, *address)))
+    pub fn known_hosts(&self) -> impl Iterator<Item = (HostId, SocketAddr)> {
+        let known_hosts = self.known_hosts.iter();
+        known_hosts.filter_map(|(address, it)| Some((it.host.clone()?, *address)))
     }
 
     /// Records that the list of registered hosts was read.
-    pub fn found_all(&mut self) {
-        self.knows_hosts = true;
+    pub fn mark_host_list_read(&mut self) {
+        self.has_host_list = true;
     }
 
     /// Returns whether the list of registered hosts was read.
     #[must_use]
-    pub fn knows_hosts(&self) -> bool {
-        self.knows_hosts
+    pub fn has_host_list(&self) -> bool {
+        self.has_host_list
     }
 
     /// Returns hosts that were recently discovered or live. They may be running although no
     /// report from them has arrived.
-    pub fn lately_found(&self, now: Instant) -> impl Iterator<Item = &HostId> {
-        let hosts = self.found.values();
-        let lately = hosts.filter(move |it| it.is_recent(now));
-        lately.filter_map(|it| it.host.as_ref())
+    pub fn recently_discovered(&self, now: Instant) -> impl Iterator<Item = &HostId> {
+        let hosts = self.known_hosts.values();
+        let recent = hosts.filter(move |it| it.is_recent(now));
+        recent.filter_map(|it| it.host.as_ref())
     }
 
     /// Returns the number of known hosts, including this one.
     #[must_use]
-    pub fn hosts(&self) -> usize {
-        self.found.len() + 1
+    pub fn host_count(&self) -> usize {
+        self.known_hosts.len() + 1
     }
 
     /// Records that a change should be reported soon.
-    pub fn has_news(&mut self) {
-        self.has_news = true;
+    pub fn report_soon(&mut self) {
+        self.has_changes = true;
     }
 
     /// Records that a change in the whole report should be reported at once.
-    pub fn whole_is_due(&mut self) {
+    pub fn report_whole_at_once(&mut self) {
         self.last_whole = None;
         self.is_urgent = true;
     }
 
     /// Returns when the next report is due; none before the first.
     pub fn due_at(&self) -> Option<Instant> {
-        let last = self.last?;
-        Some(last + self.pause())
+        let last_sent = self.last_sent?;
+        Some(last_sent + self.pause())
     }
 
     fn pause(&self) -> Duration {
         if self.is_urgent {
             URGENT_PAUSE
-        } else if self.has_news {
+        } else if self.has_changes {
             REPORT_PAUSE
         } else {
             HEARTBEAT
@@ -159,59 +164,59 @@
     }
 }
 
-fn is_due(last: Option<Instant>, pause: Duration, now: Instant) -> bool {
-    last.is_none_or(|last| now.saturating_duration_since(last) >= pause)
+fn is_due(last_sent: Option<Instant>, pause: Duration, now: Instant) -> bool {
+    last_sent.is_none_or(|last_sent| now.saturating_duration_since(last_sent) >= pause)
 }
 
 impl Router {
     /// Sends a report to the peers of the own cell if one is due, and in any case if `at_once`.
-    pub(super) fn tell(&mut self, now: Instant, at_once: bool, fx: &mut Vec<Effect>) {
+    pub(super) fn send_report(&mut self, now: Instant, at_once: bool, fx: &mut Vec<Effect>) {
         // Peers derive the offset of this host's clock from its reports, so no report is sent
         // before the clock was read.
         let Some(boot_time) = self.last_boot_time else {
             return;
         };
-        if !at_once && !is_due(self.telling.last, self.telling.pause(), now) {
+        if !at_once && !is_due(self.report_state.last_sent, self.report_state.pause(), now) {
             return;
         }
-        self.tell_other_cells(now, boot_time, fx);
-        let is_whole = is_due(self.telling.last_whole, WHOLE_PAUSE, now) || at_once;
-        self.telling.last = Some(now);
-        let to = self.audience(now);
+        self.report_to_other_cells(now, boot_time, fx);
+        let is_whole = is_due(self.report_state.last_whole, WHOLE_PAUSE, now) || at_once;
+        self.report_state.last_sent = Some(now);
+        let to = self.report_addresses(now);
         if to.is_empty() {
             return;
         }
-        self.telling.has_news = false;
-        self.telling.is_urgent = false;
+        self.report_state.has_changes = false;
+        self.report_state.is_urgent = false;
         if is_whole {
-            self.telling.last_whole = Some(now);
+            self.report_state.last_whole = Some(now);
         }
         let changes = self.entries.next_changes();
-        self.telling.is_urgent = self.entries.has_unsent();
-        let usage = self.usage_to_tell(is_whole);
+        self.report_state.is_urgent = self.entries.has_unsent();
+        let usage = self.usage_to_report(is_whole);
         let whole = is_whole.then(|| WholeReport {
             low_levels: self.quota.low_levels(now),
-            asked: self.asked.totals().collect(),
+            asked: self.arrival_rates.totals().collect(),
             ..self.whole_report(now, boot_time)
         });
-        let signals = self.signals_to_tell(is_whole, now);
+        let signals = self.signals_to_report(is_whole, now);
         let report = Box::new(Report {
             usage,
             signals,
             changes,
             whole,
-            ..self.empty_report()
+            ..self.new_report()
         });
         fx.push(Effect::SendReport { to, report });
     }
 
     /// Creates a report without content, with the next sequence number.
-    pub(super) fn empty_report(&mut self) -> Report {
-        self.telling.sequence += 1;
+    pub(super) fn new_report(&mut self) -> Report {
+        self.report_state.sequence += 1;
         Report {
             host: host_key(&self.cfg.host),
             run: self.cfg.incarnation,
-            sequence: self.telling.sequence,
+            sequence: self.report_state.sequence,
             is_ready: self.was_ready,
             loads: Vec::new(),
             samples: Vec::new(),
@@ -222,7 +227,7 @@
         }
     }
 
-    fn signals_to_tell(&self, is_whole: bool, now: Instant) -> Vec<SignalReport> {
+    fn signals_to_report(&self, is_whole: bool, now: Instant) -> Vec<SignalReport> {
         if is_whole {
             self.signals.reports(now).collect()
         } else {
@@ -230,22 +235,21 @@
         }
     }
 
-    fn usage_to_tell(&mut self, is_whole: bool) -> Vec<(AccountId, f64)> {
-        let told = &mut self.telling.told_usage;
+    fn usage_to_report(&mut self, is_whole: bool) -> Vec<(AccountId, f64)> {
+        let reported = &mut self.report_state.reported_usage;
         let usage = self.quota.usage().filter(|(account, used)| {
-            let before = told.insert(account.clone(), *used);
-            *used > 0.0 && (is_whole || before != Some(*used))
+            let previous = reported.insert(account.clone(), *used);
+            *used > 0.0 && (is_whole || previous != Some(*used))
         });
         usage.collect()
     }
 
     /// Describes this host and its state of the store.
     fn whole_report(&self, now: Instant, boot_time: BootTime) -> WholeReport {
-        let strikes = self.quarantine.newest(STRIKES_TOLD).into_iter();
-        let strikes = strikes.map(|(fingerprint, strikes)| Strike {
+        let crash_counts = self.quarantine.newest(MAX_REPORTED_CONTENTS).into_iter();
+        let crash_counts = crash_counts.map(|(fingerprint, crash_count)| Strike {
             fingerprint,
-            crash_count:
-            strikes,
+            crash_count,
         });
         WholeReport {
             host: self.cfg.host.clone(),
@@ -257,8 +261,8 @@
             store: self.store_view(now, boot_time),
             low_levels: Vec::new(),
             asked: Vec::new(),
-            crash_counts: strikes.collect(),
-            rollouts: self.rollouts_to_tell(now, false),
+            crash_counts: crash_counts.collect(),
+            rollouts: self.rollouts_to_report(now, false),
             cell_callers: None,
         }
     }
@@ -277,20 +281,24 @@
 
     /// Returns the addresses of live peers of the cell, and from time to time those of silent
     /// ones.
-    fn audience(&mut self, now: Instant) -> Vec<SocketAddr> {
-        let heard: BTreeSet<_> = self.fleet.live_peers(now).map(|(_, it)| it.address).collect();
+    fn report_addresses(&mut self, now: Instant) -> Vec<SocketAddr> {
+        let live: BTreeSet<_> = self
+            .fleet
+            .live_peers(now)
+            .map(|(_, it)| it.address)
+            .collect();
         let (cell, cells) = (self.cell, self.cells);
         let mut to = Vec::new();
-        for (address, found) in &mut self.telling.found {
-            let host = found.host.as_deref().unwrap_or_default();
+        for (address, known_hosts) in &mut self.report_state.known_hosts {
+            let host = known_hosts.host.as_deref().unwrap_or_default();
             if cell_of(host, cells) != cell {
                 continue;
             }
-            if heard.contains(address) {
-                found.since = Some(now);
+            if live.contains(address) {
+                known_hosts.last_live_at = Some(now);
                 to.push(*address);
-            } else if is_due(found.told_at, found.pause(now), now) {
-                found.told_at = Some(now);
+            } else if is_due(known_hosts.sent_at, known_hosts.pause(now), now) {
+                known_hosts.sent_at = Some(now);
                 to.push(*address);
             }
         }
@@ -298,29 +306,41 @@
     }
 
     /// Removes hosts that have been silent for a long time.
-    pub(super) fn refresh_found(&mut self, now: Instant) {
+    pub(super) fn forget_silent_hosts(&mut self, now: Instant) {
         let own = self.cfg.peer_address;
-        let heard: BTreeSet<_> = self.fleet.live_peers(now).map(|(_, it)| it.address).collect();
-        let before = self.telling.found.len();
-        self.telling.found.retain(|address, found| {
-            let since = *found.since.get_or_insert(now);
-            let is_fresh = now.saturating_duration_since(since) < FOUND_FOR;
-            *address != own && (is_fresh || heard.contains(address))
-        });
-        if self.telling.found.len() != before {
-            self.views.invalidate();
+        let live: BTreeSet<_> = self
+            .fleet
+            .live_peers(now)
+            .map(|(_, it)| it.address)
+            .collect();
+        let previous = self.report_state.known_hosts.len();
+        self.report_state
+            .known_hosts
+            .retain(|address, known_hosts| {
+                let last_live_at = *known_hosts.last_live_at.get_or_insert(now);
+                let is_remembered = now.saturating_duration_since(last_live_at) < FORGET_AFTER;
+                *address != own && (is_remembered || live.contains(address))
+            });
+        if self.report_state.known_hosts.len() != previous {
+            self.stable_subsets.invalidate();
         }
     }
 
     /// Sends a summary of this cell to one random host of each other cell, if that is due.
-    fn tell_other_cells(&mut self, now: Instant, boot_time: BootTime, fx: &mut Vec<Effect>) {
-        if self.cells == 1 || !is_due(self.telling.last_cross, CROSS_PAUSE, now) {
+    fn report_to_other_cells(&mut self, now: Instant, boot_time: BootTime, fx: &mut Vec<Effect>) {
+        if self.cells == 1
+            || !is_due(
+                self.report_state.last_to_other_cells,
+                OTHER_CELLS_PAUSE,
+                now,
+            )
+        {
             return;
         }
-        self.telling.last_cross = Some(now);
+        self.report_state.last_to_other_cells = Some(now);
         let mut by_cell: BTreeMap<u32, Vec<SocketAddr>> = BTreeMap::new();
-        for (address, found) in &self.telling.found {
-            let host = found.host.as_deref().unwrap_or_default();
+        for (address, known_hosts) in &self.report_state.known_hosts {
+            let host = known_hosts.host.as_deref().unwrap_or_default();
             let cell = cell_of(host, self.cells);
             by_cell.entry(cell).or_default().push(*address);
         }
@@ -334,13 +354,13 @@
         callers.extend(self.was_ready.then_some(self.cfg.caller_address));
         let whole = WholeReport {
             cell_callers: Some(callers),
-            rollouts: self.rollouts_to_tell(now, true),
+            rollouts: self.rollouts_to_report(now, true),
             ..self.whole_report(now, boot_time)
         };
         let report = Box::new(Report {
-            signals: self.signals_to_tell(true, now),
+            signals: self.signals_to_report(true, now),
             whole: Some(whole),
-            ..self.empty_report()
+            ..self.new_report()
         });
         fx.push(Effect::SendReport { to, report });
     }
--- a/crates/jaypin_router/src/router/rollouts.rs
+++ b/crates/jaypin_router/src/router/rollouts.rs
@@ -11,21 +11,22 @@
 use crate::limits::slot_wait_limit;
 use crate::request::{Admitted, Request, Sent};
 use crate::{
-    AttemptOutcome, Backend, BackendRecord, BackendSubsets, BootTime, Choice, ExposureBudget, Outcome, Repeat, Report,
-    RolloutOrder, RolloutReport, SoftwareVersion, VersionRole, best_place, route_key,
+    AttemptOutcome, Backend, BackendRecord, BackendSubsets, BootTime, Choice, ExposureBudget,
+    Outcome, Repeat, Report, RolloutOrder, RolloutReport, SoftwareVersion, VersionRole, best_place,
+    route_key,
 };
 
 /// Time after its end for which an order is still reported to peers.
-const TOLD_AFTER_END: Duration = Duration::from_secs(5);
+const REPORT_AFTER_END: Duration = Duration::from_secs(5);
 /// Fraction of the additional requests to a canary version that hosts use.
-const SLACK_PART: f64 = 0.4;
+const SLACK_FRACTION: f64 = 0.4;
 /// Factor on the expected length of a response, which is often longer.
-const SAFE_LENGTH: f64 = 2.0;
+const LENGTH_SAFETY_FACTOR: f64 = 2.0;
 
 impl Router {
     /// Applies an order that was read from the store.
-    pub(super) fn rollout_told(&mut self, order: RolloutOrder, now: Instant) {
-        self.take_order(order, Duration::ZERO, now);
+    pub(super) fn apply_stored_order(&mut self, order: RolloutOrder, now: Instant) {
+        self.apply_order(order, Duration::ZERO, now);
     }
 
     /// Returns the orders known to this host.
@@ -33,73 +34,73 @@
         self.rollouts.values().map(|it| &it.order)
     }
 
-    fn take_order(&mut self, order: RolloutOrder, age: Duration, now: Instant) {
+    fn apply_order(&mut self, order: RolloutOrder, age: Duration, now: Instant) {
         let Some(bound) = self.cfg.bounds.exposure else {
             return;
         };
         let hosts = u32::try_from(self.fleet.size(now)).unwrap_or(u32::MAX);
         let hosts = f64::from(hosts) * f64::from(self.cells);
-        let kept = SLACK_PART * bound.slack / hosts;
-        let first = self.rng.random_range(0.0..1.0);
-        let exposure = || ExposureBudget::new(bound.share, first, kept);
-        if self.rollouts.take(order, age, exposure, now) {
-            self.versions_changed();
+        let additional = SLACK_FRACTION * bound.slack / hosts;
+        let first_credit = self.rng.random_range(0.0..1.0);
+        let exposure = || ExposureBudget::new(bound.share, first_credit, additional);
+        if self.rollouts.apply(order, age, exposure, now) {
+            self.handle_role_change();
         }
     }
 
     /// Handles a change of the roles of versions, which peers should receive at once.
-    fn versions_changed(&mut self) {
-        self.views.invalidate();
-        self.telling.whole_is_due();
+    fn handle_role_change(&mut self) {
+        self.stable_subsets.invalidate();
+        self.report_state.report_whole_at_once();
     }
 
     /// Applies the orders and outcomes in a peer's report.
-    pub(super) fn heard_of_rollouts(&mut self, report: &Report, now: Instant) {
+    pub(super) fn apply_reported_rollouts(&mut self, report: &Report, now: Instant) {
         let Some(whole) = &report.whole else {
             return;
         };
-        for told in &whole.rollouts {
-            self.take_order(told.order.clone(), told.age, now);
-            if told.is_end_lost {
-                self.rollouts.end_was_lost(&told.order);
+        for reported in &whole.rollouts {
+            self.apply_order(reported.order.clone(), reported.age, now);
+            if reported.is_end_lost {
+                self.rollouts.restore_end(&reported.order);
             }
-            let rollout = self.rollouts.get_mut(&told.order.service);
-            let Some(rollout) = rollout.filter(|it| it.order.to == told.order.to) else {
+            let rollout = self.rollouts.get_mut(&reported.order.service);
+            let Some(rollout) = rollout.filter(|it| it.order.to == reported.order.to) else {
                 continue;
             };
             if whole.cell_callers.is_none() {
-                rollout.peer_saw(report.run, &told.outcomes);
+                rollout.record_peer_outcomes(report.run, &reported.outcomes);
             } else if whole.cell != self.cell {
-                rollout.cell_saw(whole.cell, &told.outcomes);
+                rollout.record_cell_outcomes(whole.cell, &reported.outcomes);
             }
-            if told.is_bad && rollout.found_bad() {
-                self.versions_changed();
+            if reported.is_bad && rollout.mark_bad() {
+                self.handle_role_change();
             }
         }
     }
 
     /// Returns what peers should know of orders.
-    pub(super) fn rollouts_to_tell(&self, now: Instant, is_of_cell: bool) -> Vec<RolloutReport> {
+    pub(super) fn rollouts_to_report(&self, now: Instant, is_of_cell: bool) -> Vec<RolloutReport> {
         let age = |at: Instant| now.saturating_duration_since(at);
         let all = self.rollouts.values();
-        let told =
-            all.filter(|it| it.is_end_lost() || it.ended.is_none_or(|at| age(at) < TOLD_AFTER_END));
-        let reports = told.map(|rollout| RolloutReport {
+        let reported = all
+            .filter(|it| it.is_end_lost() || it.ended.is_none_or(|at| age(at) < REPORT_AFTER_END));
+        let reports = reported.map(|rollout| RolloutReport {
             order: rollout.order.clone(),
             age: age(rollout.started),
             is_bad: rollout.is_bad(),
             is_end_lost: rollout.is_end_lost(),
             outcomes: if is_of_cell {
-                rollout.own_cell()
+                rollout.own_cell_outcomes()
             } else {
-                rollout.own.clone()
+                rollout.own_outcomes.clone()
             },
         });
         reports.collect()
     }
 
     /// Evaluates the canary versions, and has changed states of orders written to the store.
-    pub(super) fn judge_rollouts(
+    pub(super) fn evaluate_rollouts(
         &mut self,
         now: Instant,
         boot_time: BootTime,
@@ -107,28 +108,32 @@
     ) {
         let mut has_changed = false;
         for rollout in self.rollouts.values_mut() {
-            has_changed |= rollout.judge(now);
+            has_changed |= rollout.evaluate(now);
         }
         if has_changed {
-            self.versions_changed();
+            self.handle_role_change();
         }
         if !self.may_watch(boot_time) {
             return;
         }
-        let turns = self.write_turns(now);
+        let turns = self.writers_before(now);
         for rollout in self.rollouts.values_mut() {
             fx.extend(rollout.next_write(turns, now).map(Effect::WriteRollout));
         }
     }
 
     /// Returns the number of hosts that write to the store before this one.
-    fn write_turns(&self, now: Instant) -> u32 {
-        const WRITE_ORDER: &str = "rollout";
-        let own = score(WRITE_ORDER, &self.cfg.host);
-        let heard = self.fleet.live_peers(now).filter(|(_, peer)| peer.may_watch);
-        let before = heard.filter(|(host, _)| score(WRITE_ORDER, host) > own);
-        let before = u32::try_from(before.count()).unwrap_or(u32::MAX);
-        self.cell.saturating_add(before.saturating_mul(self.cells))
+    fn writers_before(&self, now: Instant) -> u32 {
+        const WRITE_RANK_KEY: &str = "rollout";
+        let own = score(WRITE_RANK_KEY, &self.cfg.host);
+        let live = self
+            .fleet
+            .live_peers(now)
+            .filter(|(_, peer)| peer.may_watch);
+        let preceding = live.filter(|(host, _)| score(WRITE_RANK_KEY, host) > own);
+        let preceding = u32::try_from(preceding.count()).unwrap_or(u32::MAX);
+        self.cell
+            .saturating_add(preceding.saturating_mul(self.cells))
     }
 
     /// Returns which requests a backend server may get, by its version.
@@ -136,30 +141,30 @@
         if self.cfg.bounds.exposure.is_some() {
             self.rollouts.role(record)
         } else {
-            VersionRole::InForce
+            VersionRole::Stable
         }
     }
 
     /// Returns the subsets to which a backend server may belong by its version; none if it gets no
     /// requests.
-    pub(super) fn views_of(&self, record: &BackendRecord) -> Option<&BackendSubsets> {
+    pub(super) fn subsets_of(&self, record: &BackendRecord) -> Option<&BackendSubsets> {
         match self.role_of(record) {
-            VersionRole::InForce => Some(&self.views),
-            VersionRole::Trial => Some(&self.trial_views),
-            VersionRole::Barred => None,
+            VersionRole::Stable => Some(&self.stable_subsets),
+            VersionRole::Canary => Some(&self.canary_subsets),
+            VersionRole::Excluded => None,
         }
     }
 
     /// Returns the version of a backend server if it is a canary version.
-    pub(super) fn trial_version(&self, record: &BackendRecord) -> Option<SoftwareVersion> {
-        let is_trial = self.role_of(record) == VersionRole::Trial;
+    pub(super) fn canary_version(&self, record: &BackendRecord) -> Option<SoftwareVersion> {
+        let is_trial = self.role_of(record) == VersionRole::Canary;
         is_trial.then(|| record.version.clone())
     }
 
-    pub(super) fn find_versions_in_force(&mut self) {
+    pub(super) fn update_stable_versions(&mut self) {
         if self.cfg.bounds.exposure.is_some() {
             let records = self.backends.values().map(|it| &it.record);
-            self.rollouts.find_in_force(records);
+            self.rollouts.update_stable_versions(records);
         }
     }
 
@@ -170,24 +175,25 @@
 
     /// Returns a place on a backend server with the canary version, if the request may be sent
     /// to it.
-    pub(super) fn trial_place(
+    pub(super) fn canary_place(
         &mut self,
         admitted: &Admitted,
-        in_force: Option<&Choice>,
+        stable: Option<&Choice>,
         now: Instant,
     ) -> Option<Choice> {
         let rollout = self.rollouts.get(&admitted.service)?;
-        let may_try = rollout.is_trying() && admitted.attempted.is_empty() && self.knows_orders();
-        if !may_try {
+        let may_use_canary =
+            rollout.is_under_test() && admitted.attempted.is_empty() && self.has_recent_orders();
+        if !may_use_canary {
             return None;
         }
         let exposure = &rollout.exposure;
         let outlasts = || {
             let left = rollout.take_over_at().saturating_duration_since(now);
-            in_force.is_some_and(|choice| outlasts(admitted, choice, left, now))
+            stable.is_some_and(|choice| outlasts(admitted, choice, left, now))
         };
-        let may_spend = exposure.has_sample() || (exposure.has_any() && outlasts());
-        if !may_spend {
+        let has_budget = exposure.has_sample() || (exposure.has_credit() && outlasts());
+        if !has_budget {
             return None;
         }
         let demand = self.demand(admitted, now);
@@ -195,11 +201,11 @@
         let serves = |backend: &Backend, choice: &Choice| {
             is_in_time(choice, limit_at(backend, admitted, now), slot_limit)
         };
-        let ours = self.trial_views.own_subset(&admitted.service).iter();
-        let ours = ours.filter_map(|id| self.backends.get(id));
+        let subset = self.canary_subsets.own_subset(&admitted.service).iter();
+        let subset = subset.filter_map(|id| self.backends.get(id));
         let mut rng = self.rng.clone();
-        let turn = || rng.random_range(0.0..1.0);
-        let choice = best_place(ours, &demand, &[], serves, turn, now);
+        let random = || rng.random_range(0.0..1.0);
+        let choice = best_place(subset, &demand, &[], serves, random, now);
         self.rng = rng;
         choice.filter(|choice| {
             let backend = self.backends.get(&choice.backend);
@@ -208,23 +214,23 @@
     }
 
     /// Returns whether this host receives changes of an order soon enough.
-    fn knows_orders(&self) -> bool {
+    fn has_recent_orders(&self) -> bool {
         self.last_boot_time.is_some_and(|at| !self.is_stale(at))
     }
 
     /// Counts a request that is sent to a backend server against the limit on canary requests.
     pub(super) fn count_exposure(&mut self, record: &BackendRecord) {
-        let is_trial = self.role_of(record) == VersionRole::Trial;
+        let is_trial = self.role_of(record) == VersionRole::Canary;
         if let Some(rollout) = self.rollouts.get_mut(&record.service) {
-            rollout.exposure.sent();
+            rollout.exposure.count_request();
             if is_trial {
-                rollout.exposure.spend();
+                rollout.exposure.charge();
             }
         }
     }
 
     /// Counts the end of a call in the comparison of two versions.
-    pub(super) fn compare_versions(&mut self, request: &Request<Sent>, outcome: AttemptOutcome) {
+    pub(super) fn count_outcome(&mut self, request: &Request<Sent>, outcome: AttemptOutcome) {
         if self.cfg.bounds.exposure.is_none() {
             return;
         }
@@ -234,18 +240,22 @@
         let role = self.role_of(&backend.record);
         let service = backend.record.service.clone();
         let route = route_key(&request.admitted.route.name);
-        let is_new = role == VersionRole::Trial;
+        let is_canary = role == VersionRole::Canary;
         let outcome = match outcome {
             AttemptOutcome::Complete => {
-                let first = request.state.first_event_at;
-                let first = first.map(|at| at.saturating_duration_since(request.state.at));
-                let is_first_try = request.admitted.attempted.len() == 1;
-                let Some(first) = first.filter(|_| is_first_try) else {
+                let first_credit = request.state.first_event_at;
+                let first_credit =
+                    first_credit.map(|at| at.saturating_duration_since(request.state.at));
+                let is_first_attempt = request.admitted.attempted.len() == 1;
+                let Some(first_credit) = first_credit.filter(|_| is_first_attempt) else {
                     return;
                 };
                 let tokens = request.admitted.prompt_tokens;
-                let is_usual = role == VersionRole::InForce;
-                if self.slow_answers.judge(route, first, tokens, is_usual) {
+                let is_baseline = role == VersionRole::Stable;
+                if self
+                    .slow_answers
+                    .classify(route, first_credit, tokens, is_baseline)
+                {
                     Outcome::Slow
                 } else {
                     Outcome::Good
@@ -256,10 +266,10 @@
             _ => return,
         };
         let rollout = self.rollouts.get_mut(&service);
-        if let Some(rollout) = rollout.filter(|it| it.is_trying())
-            && role != VersionRole::Barred
+        if let Some(rollout) = rollout.filter(|it| it.is_under_test())
+            && role != VersionRole::Excluded
         {
-            rollout.own.count(route, is_new, outcome);
+            rollout.own_outcomes.count(route, is_canary, outcome);
         }
     }
 }
@@ -269,6 +279,6 @@
 fn outlasts(admitted: &Admitted, choice: &Choice, left: Duration, now: Instant) -> bool {
     let time = admitted.deadline.saturating_duration_since(now);
     let part = choice.time_fraction.unwrap_or_default();
-    let length = time.mul_f64((part * SAFE_LENGTH).min(SAFE_LENGTH));
+    let length = time.mul_f64((part * LENGTH_SAFETY_FACTOR).min(LENGTH_SAFETY_FACTOR));
     admitted.route.repeat == Repeat::Stream && length >= left
 }
--- a/crates/jaypin_router/src/router/snapshot.rs
+++ b/crates/jaypin_router/src/router/snapshot.rs
@@ -14,7 +14,7 @@
     /// that was reported.
     #[must_use]
     pub fn configuration_holders(&self, now: Instant) -> Vec<SocketAddr> {
-        let newest = self.newest_heard();
+        let newest = self.newest_reported_version();
         self.holders(now, |peer| peer.is_ready && peer.version >= newest)
     }
 
@@ -28,26 +28,26 @@
     /// Returns the addresses of live peers that the store lists. Other senders of reports are
     /// left out, so that a report from an unknown sender can't make a host load a configuration
     /// from there.
-    fn holders(&self, now: Instant, has_it: impl Fn(&Peer) -> bool) -> Vec<SocketAddr> {
-        let heard = self.fleet.live_peers(now).map(|(_, peer)| peer);
-        let holders = heard.filter(|peer| has_it(peer));
+    fn holders(&self, now: Instant, has_data: impl Fn(&Peer) -> bool) -> Vec<SocketAddr> {
+        let live = self.fleet.live_peers(now).map(|(_, peer)| peer);
+        let holders = live.filter(|peer| has_data(peer));
         let addresses = holders.map(|peer| peer.address);
         addresses
-            .filter(|address| self.telling.is_registered(address))
+            .filter(|address| self.report_state.is_registered(address))
             .collect()
     }
 
     /// Returns whether a host that the store lists has this IP address.
     #[must_use]
     pub fn is_registered_host(&self, address: IpAddr) -> bool {
-        self.telling.has_registered(address)
+        self.report_state.has_registered(address)
     }
 
     /// Returns whether a live peer was missing when the store's list of hosts was last read.
     #[must_use]
     pub fn has_unlisted_peer(&self, now: Instant) -> bool {
-        let mut heard = self.fleet.live_peers(now);
-        heard.any(|(_, peer)| !self.telling.is_registered(&peer.address))
+        let mut live = self.fleet.live_peers(now);
+        live.any(|(_, peer)| !self.report_state.is_registered(&peer.address))
     }
 
     /// Returns all entries that this host knows, and the entries that it knows to be removed.
@@ -66,10 +66,10 @@
         stated.chain(removed).collect()
     }
 
-    pub(super) fn entries_handed(&mut self, entries: Vec<EntryChange>, now: Instant) {
+    pub(super) fn apply_entry_snapshot(&mut self, entries: Vec<EntryChange>, now: Instant) {
         for change in entries {
-            self.take_entry(change, now);
+            self.apply_entry_change(change, now);
         }
-        self.heard.read_all();
+        self.reported_store.record_read_all();
     }
 }
--- a/crates/jaypin_router/src/router/store_era.rs
+++ b/crates/jaypin_router/src/router/store_era.rs
@@ -15,7 +15,7 @@
     /// Era that the store stated in responses to this host.
     stated: Option<StoreEra>,
     /// Era that peers reported.
-    heard: Option<StoreEra>,
+    reported: Option<StoreEra>,
 }
 
 impl Router {
@@ -29,27 +29,27 @@
     /// Returns the newest era that this host knows, including those reported by peers.
     #[must_use]
     pub fn store_era(&self) -> Option<StoreEra> {
-        self.era.stated.max(self.era.heard)
+        self.era.stated.max(self.era.reported)
     }
 
-    pub(super) fn store_stated_era(&mut self, era: StoreEra, now: Instant) {
+    pub(super) fn record_stated_era(&mut self, era: StoreEra, now: Instant) {
         let before = self.store_era();
         self.era.stated = self.era.stated.max(Some(era));
-        self.compare_eras(before, now);
+        self.handle_era_change(before, now);
     }
 
-    pub(super) fn heard_of_era(&mut self, era: Option<StoreEra>, now: Instant) {
+    pub(super) fn record_reported_era(&mut self, era: Option<StoreEra>, now: Instant) {
         let before = self.store_era();
-        self.era.heard = self.era.heard.max(era);
-        self.compare_eras(before, now);
+        self.era.reported = self.era.reported.max(era);
+        self.handle_era_change(before, now);
     }
 
     /// Handles a change of the era. Backend servers write the entries that the copy lacks again,
     /// so an entry that is missing for a moment counts as expired.
-    fn compare_eras(&mut self, before: Option<StoreEra>, now: Instant) {
+    fn handle_era_change(&mut self, before: Option<StoreEra>, now: Instant) {
         if before.is_some() && before != self.store_era() {
-            self.vanished.disturbed(now);
-            self.telling.whole_is_due();
+            self.missing_entries.record_store_failure(now);
+            self.report_state.report_whole_at_once();
         }
     }
 }
