--- a/crates/jaypin_router/src/rollout/exposure.rs
+++ b/crates/jaypin_router/src/rollout/exposure.rs
@@ -22,9 +22,9 @@
 }
 
 impl ExposureBudget {
-    /// Creates a limit with the allowed share of requests, a random credit `first` between 0 and
-    /// 1, and a number of requests that are allowed `besides`. The credit is random so that the
-    /// hosts don't all send a sample at their tenth request.
+    /// Creates a limit with the allowed share of requests, a random `first_credit` between 0 and
+    /// 1, and a number of `additional` requests. The credit is random so that the hosts don't all
+    /// send a sample at their tenth request.
     #[must_use]
     pub fn new(share: f64, first_credit: f64, additional: f64) -> Self {
         Self {
--- a/crates/jaypin_router/src/rollout/progress.rs
+++ b/crates/jaypin_router/src/rollout/progress.rs
@@ -100,7 +100,7 @@
     /// Returns whether the store, restored from an older copy, states the order as it was before
     /// its end.
     #[must_use]
-    pub fn is_lost_end(&self, order: &RolloutOrder) -> bool {
+    pub fn shows_lost_end(&self, order: &RolloutOrder) -> bool {
         let is_later_era = order.point.era > self.order.point.era;
         let is_ended = matches!(
             self.order.state,
@@ -112,7 +112,7 @@
 
     /// Keeps the end of the order, so that it is written again over a point of the new history.
     /// Returns whether this is a change.
-    pub fn restore_end(&mut self, point: StorePoint) -> bool {
+    pub fn mark_end_lost(&mut self, point: StorePoint) -> bool {
         let is_change = !self.is_end_lost || point > self.order.point;
         self.order.point = self.order.point.max(point);
         self.is_end_lost = true;
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Returns what this host has to write now, while `turns` hosts write before it.
+    /// Returns what this host has to write now, while `writers_before` hosts write before it.
     pub fn next_write(&mut self, writers_before: u32, now: Instant) -> Option<RolloutWrite> {
         let wanted_state = self.wanted_state(now)?;
         let due = match self.pending_write {
--- a/crates/jaypin_router/src/rollout/slow_answer.rs
+++ b/crates/jaypin_router/src/rollout/slow_answer.rs
@@ -26,7 +26,7 @@
 
 impl SlowAnswerDetector {
     /// Returns whether a response is slow, by the time to its first event and the number of
-    /// prompt tokens. One of the stable version (`usual`) adjusts the limit.
+    /// prompt tokens. One of the stable version (`is_baseline`) adjusts the limit.
     pub fn classify(
         &mut self,
         route: RouteKey,
--- a/crates/jaypin_router/src/rollout/versions.rs
+++ b/crates/jaypin_router/src/rollout/versions.rs
@@ -62,9 +62,9 @@
         let started = now.checked_sub(age).unwrap_or(now);
         let known = self.by_service.get_mut(&order.service);
         if let Some(known) = known
-            && known.is_lost_end(&order)
+            && known.shows_lost_end(&order)
         {
-            return known.restore_end(order.point);
+            return known.mark_end_lost(order.point);
         }
         let known = self.by_service.get_mut(&order.service);
         let is_reordered = |it: &Rollout| it.order.state.is_final() && !order.state.is_final();
@@ -92,12 +92,12 @@
     }
 
     /// Records a peer's report that the store has lost the end of an order.
-    pub fn restore_end(&mut self, order: &RolloutOrder) {
+    pub fn mark_end_lost(&mut self, order: &RolloutOrder) {
         let known = self.by_service.get_mut(&order.service);
         let is_same = |it: &Rollout| it.order.to == order.to && it.order.state == order.state;
         // A host that knows a later state of the order in the store ignores the report.
         if let Some(known) = known.filter(|it| is_same(it) && it.order.point <= order.point) {
-            known.restore_end(order.point);
+            known.mark_end_lost(order.point);
         }
     }
 
--- a/crates/jaypin_router/src/router/arrival.rs
+++ b/crates/jaypin_router/src/router/arrival.rs
@@ -79,7 +79,7 @@
         route: &Arc<Route>,
         account: Option<&Account>,
     ) -> Request<Waiting> {
-        let patience = arrival.timeout.unwrap_or(route.timeout);
+        let timeout = arrival.timeout.unwrap_or(route.timeout);
         let (prompt_tokens, answer_tokens) = arrival.tokens.unwrap_or_default();
         let rank = Rank::of(account, route);
         let service = self.choose_service(route);
@@ -97,7 +97,7 @@
             units: units(account, arrival.tokens),
             fingerprint: arrival.fingerprint,
             arrived_at: arrival.received_at,
-            deadline: arrival.received_at + patience.min(route.timeout),
+            deadline: arrival.received_at + timeout.min(route.timeout),
             attempted: Vec::new(),
             possible_runs: 0,
             is_started: false,
@@ -164,7 +164,7 @@
         }
         self.arrival_rates.record(key, admitted.rank, now);
         let service = admitted.service.clone();
-        let first = if table
+        let initial_hold_time = if table
             .service(&service)
             .is_some_and(|it| it.engine.is_some())
         {
@@ -172,7 +172,9 @@
         } else {
             INITIAL_PLAIN_HOLD_TIME
         };
-        self.hold_times.entry(service.clone()).or_insert(first);
+        self.hold_times
+            .entry(service.clone())
+            .or_insert(initial_hold_time);
         self.budget(&service, now).record_request(now);
         self.place(now, request, fx);
     }
--- a/crates/jaypin_router/src/router/attempt.rs
+++ b/crates/jaypin_router/src/router/attempt.rs
@@ -94,8 +94,8 @@
     fn record_hold_time(&mut self, request: &Request<Sent>, now: Instant) {
         let hold_time = now.saturating_duration_since(request.state.at);
         if let Some(mean) = self.hold_times.get_mut(&request.admitted.service) {
-            let remaining = mean.mul_f64(1.0 - HOLD_TIME_WEIGHT);
-            *mean = remaining + hold_time.mul_f64(HOLD_TIME_WEIGHT);
+            let previous = mean.mul_f64(1.0 - HOLD_TIME_WEIGHT);
+            *mean = previous + hold_time.mul_f64(HOLD_TIME_WEIGHT);
         }
     }
 
@@ -140,12 +140,12 @@
         }
         let admitted = &request.admitted;
         let (number, service) = (admitted.number, admitted.service.clone());
-        let may_run = admitted.route.repeat.may_run_again()
+        let may_run_again = admitted.route.repeat.may_run_again()
             && admitted.possible_runs < admitted.route.attempts
             && now < admitted.deadline
             && outcome != AttemptOutcome::TimedOut
             && self.quarantined_for(admitted.fingerprint, now).is_none();
-        if may_run && self.budget(&service, now).take(now) {
+        if may_run_again && self.budget(&service, now).take(now) {
             let until = now + retry_window(&request.admitted);
             return self.place(now, request.requeue(until), fx);
         }
--- a/crates/jaypin_router/src/router/load_reporting.rs
+++ b/crates/jaypin_router/src/router/load_reporting.rs
@@ -28,7 +28,7 @@
 pub struct LoadReportState {
     reported: HashMap<BackendKey, ReportedLoad>,
     changed: BTreeSet<BackendKey>,
-    last: Option<Instant>,
+    last_sent: Option<Instant>,
 }
 
 /// The last report of one backend server's load.
@@ -76,13 +76,13 @@
 
     /// Returns when the next report is due; none if nothing changed.
     pub fn due_at(&self) -> Option<Instant> {
-        let last = self.last?;
-        (!self.changed.is_empty()).then_some(last + SLOT_PAUSE)
+        let last_sent = self.last_sent?;
+        (!self.changed.is_empty()).then_some(last_sent + SLOT_PAUSE)
     }
 
     fn is_due(&self, now: Instant) -> bool {
-        let is_time = |last: Instant| now.saturating_duration_since(last) >= SLOT_PAUSE;
-        !self.changed.is_empty() && self.last.is_none_or(is_time)
+        let is_time = |last_sent: Instant| now.saturating_duration_since(last_sent) >= SLOT_PAUSE;
+        !self.changed.is_empty() && self.last_sent.is_none_or(is_time)
     }
 
     /// Schedules reports of loads that changed or were not reported for a while.
@@ -158,7 +158,7 @@
             return;
         }
         self.refresh_subsets();
-        self.load_report_state.last = Some(now);
+        self.load_report_state.last_sent = Some(now);
         let changed = std::mem::take(&mut self.load_report_state.changed);
         let mut by_recipients: BTreeMap<Vec<SocketAddr>, Vec<BackendKey>> = BTreeMap::new();
         for key in changed {
--- a/crates/jaypin_router/src/router/placing.rs
+++ b/crates/jaypin_router/src/router/placing.rs
@@ -26,7 +26,7 @@
 ///
 /// Such a short queue delays no one: the most urgent requests may wait three times as long, so
 /// they still find a place behind it.
-const QUICK_TURN_FRACTION: f64 = 0.05;
+const SHORT_INTERVAL_FRACTION: f64 = 0.05;
 
 impl Router {
     /// Sends a request, keeps it waiting, or gives it up.
@@ -35,28 +35,28 @@
         if now >= request.admitted.deadline {
             return self.give_up(now, &request, Reason::TooLate, DecisionInputs::Deadline, fx);
         }
-        let has_waited_out = now >= request.state.until;
+        let is_wait_over = now >= request.state.until;
         let shortage = self.slot_shortage(&request.admitted, now);
         let stable = self.choose(&request.admitted, shortage.as_ref(), now);
         if let Some(choice) = self.canary_place(&request.admitted, stable.as_ref(), now) {
-            let limit = self.limit(&request.admitted, &choice, now);
+            let limit = self.first_event_limit_of(&request.admitted, &choice, now);
             let inputs = self.placement_inputs(&choice, limit, slot_wait_limit(&request.admitted));
             return self.send(now, request, choice, inputs, fx);
         }
         let Some(choice) = stable else {
-            if has_waited_out {
+            if is_wait_over {
                 let inputs = self.no_backend_inputs(&request.admitted.service, now);
                 return self.give_up(now, &request, Reason::NoBackend, inputs, fx);
             }
             return self.keep_waiting(request, now);
         };
-        let limit = self.limit(&request.admitted, &choice, now);
+        let limit = self.first_event_limit_of(&request.admitted, &choice, now);
         let slot_limit = slot_wait_limit(&request.admitted);
         let shortage = shortage.filter(|it| !it.allows(&choice));
         let has_room = shortage.is_none();
         let is_in_time = has_room && is_in_time(&choice, limit, slot_limit);
         let is_last_resort_place =
-            has_waited_out && has_room && is_last_resort(&request.admitted, &choice, now);
+            is_wait_over && has_room && is_last_resort(&request.admitted, &choice, now);
         let inputs = match shortage {
             Some(it) => DecisionInputs::Reserved {
                 free: it.free,
@@ -66,7 +66,7 @@
         };
         if is_in_time || is_last_resort_place {
             self.send(now, request, choice, inputs, fx);
-        } else if has_waited_out {
+        } else if is_wait_over {
             self.give_up(now, &request, Reason::Shed, inputs, fx);
         } else {
             self.keep_waiting(request, now);
@@ -105,7 +105,7 @@
         let mut random = || rng.random_range(0.0..1.0);
         let slot_limit = slot_wait_limit(admitted);
         let serves = |backend: &Backend, choice: &Choice| {
-            let limit = limit_at(backend, admitted, now);
+            let limit = first_event_limit_on(backend, admitted, now);
             is_in_time(choice, limit, slot_limit) && shortage.is_none_or(|it| it.allows(choice))
         };
         let subset = self.subset_backends(&admitted.service);
@@ -170,13 +170,13 @@
             return None;
         }
         let free = self.free_slots(&admitted.service, now);
-        let quick_turn = self
+        let short_interval = self
             .shortest_latency_target(admitted)
-            .mul_f64(QUICK_TURN_FRACTION);
+            .mul_f64(SHORT_INTERVAL_FRACTION);
         (f64::from(free) <= reserved).then_some(SlotShortage {
             free,
             reserved,
-            quick_turn,
+            short_interval,
         })
     }
 
@@ -209,9 +209,11 @@
     }
 
     /// Returns the time that the first event may take on the chosen backend server.
-    fn limit(&self, admitted: &Admitted, choice: &Choice, now: Instant) -> Duration {
+    fn first_event_limit_of(&self, admitted: &Admitted, choice: &Choice, now: Instant) -> Duration {
         let backend = self.backends.get(&choice.backend);
-        backend.map_or_else(Duration::default, |it| limit_at(it, admitted, now))
+        backend.map_or_else(Duration::default, |it| {
+            first_event_limit_on(it, admitted, now)
+        })
     }
 
     fn placement_inputs(
@@ -316,14 +318,14 @@
     /// Slots reserved for these requests.
     reserved: f64,
     /// Time within which a backend server must free a slot so that no slot is reserved there.
-    quick_turn: Duration,
+    short_interval: Duration,
 }
 
 impl SlotShortage {
     /// Returns whether the chosen backend server frees slots so fast that none is reserved
     /// there.
     fn allows(&self, choice: &Choice) -> bool {
-        choice.slot_interval <= self.quick_turn && choice.slot_wait <= self.quick_turn
+        choice.slot_interval <= self.short_interval && choice.slot_wait <= self.short_interval
     }
 }
 
@@ -335,7 +337,11 @@
 }
 
 /// Returns the time that the first event may take on a backend server.
-pub(super) fn limit_at(backend: &Backend, admitted: &Admitted, now: Instant) -> Duration {
+pub(super) fn first_event_limit_on(
+    backend: &Backend,
+    admitted: &Admitted,
+    now: Instant,
+) -> Duration {
     let tokens = f64::from(admitted.prompt_tokens);
     let own = Duration::from_secs_f64(backend.prefill_rate.seconds_for(tokens));
     first_event_limit(admitted, own, now)
--- a/crates/jaypin_router/src/router/reporting.rs
+++ b/crates/jaypin_router/src/router/reporting.rs
@@ -30,7 +30,7 @@
 /// Silence after which a host gets no more reports. It is longer than any network partition,
 /// since two parts of a fleet that had both stopped reporting would not find each other again.
 const FORGET_AFTER: Duration = Duration::from_mins(15);
-/// Number of suspected contents in one report; more would not fit into a datagram.
+/// Number of suspected request contents in one report; more would not fit into a datagram.
 const MAX_REPORTED_CONTENTS: usize = 16;
 
 /// When reports were sent and what they contained, and the hosts that may receive them.
@@ -40,6 +40,7 @@
     last_sent: Option<Instant>,
     last_whole: Option<Instant>,
     last_to_other_cells: Option<Instant>,
+    /// Quota units that were last reported, by account.
     reported_usage: HashMap<AccountId, f64>,
     has_changes: bool,
     is_urgent: bool,
@@ -62,14 +63,14 @@
     fn is_recent(&self, now: Instant) -> bool {
         let age = self
             .last_live_at
-            .map(|last_live_at| now.saturating_duration_since(last_live_at));
+            .map(|at| now.saturating_duration_since(at));
         age.is_none_or(|age| age < PEER_EXPIRY)
     }
 
     fn pause(&self, now: Instant) -> Duration {
         let silence = self
             .last_live_at
-            .map(|last_live_at| now.saturating_duration_since(last_live_at));
+            .map(|at| now.saturating_duration_since(at));
         if silence.is_some_and(|silence| silence >= LONG_SILENCE) {
             LONG_SILENT_PAUSE
         } else {
@@ -81,8 +82,8 @@
 impl ReportState {
     /// Records a host that may be in the fleet. Returns whether it was unknown.
     pub fn add_host(&mut self, host: HostId, address: SocketAddr) -> bool {
-        let known_hosts = self.known_hosts.entry(address).or_default();
-        known_hosts.host.replace(host.clone()) != Some(host)
+        let known = self.known_hosts.entry(address).or_default();
+        known.host.replace(host.clone()) != Some(host)
     }
 
     /// Records that the store lists a host with this report address.
@@ -101,14 +102,14 @@
     /// Returns whether the store lists a host with this IP address.
     #[must_use]
     pub fn has_registered(&self, address: IpAddr) -> bool {
-        let mut known_hosts = self.known_hosts.iter();
-        known_hosts.any(|(at, it)| it.is_registered && at.ip() == address)
+        let mut known = self.known_hosts.iter();
+        known.any(|(at, it)| it.is_registered && at.ip() == address)
     }
 
     /// Returns the known hosts with their report addresses.
     pub fn known_hosts(&self) -> impl Iterator<Item = (HostId, SocketAddr)> {
-        let known_hosts = self.known_hosts.iter();
-        known_hosts.filter_map(|(address, it)| Some((it.host.clone()?, *address)))
+        let known = self.known_hosts.iter();
+        known.filter_map(|(address, it)| Some((it.host.clone()?, *address)))
     }
 
     /// Records that the list of registered hosts was read.
@@ -289,16 +290,16 @@
             .collect();
         let (cell, cells) = (self.cell, self.cells);
         let mut to = Vec::new();
-        for (address, known_hosts) in &mut self.report_state.known_hosts {
-            let host = known_hosts.host.as_deref().unwrap_or_default();
+        for (address, known) in &mut self.report_state.known_hosts {
+            let host = known.host.as_deref().unwrap_or_default();
             if cell_of(host, cells) != cell {
                 continue;
             }
             if live.contains(address) {
-                known_hosts.last_live_at = Some(now);
+                known.last_live_at = Some(now);
                 to.push(*address);
-            } else if is_due(known_hosts.sent_at, known_hosts.pause(now), now) {
-                known_hosts.sent_at = Some(now);
+            } else if is_due(known.sent_at, known.pause(now), now) {
+                known.sent_at = Some(now);
                 to.push(*address);
             }
         }
@@ -313,15 +314,13 @@
             .live_peers(now)
             .map(|(_, it)| it.address)
             .collect();
-        let previous = self.report_state.known_hosts.len();
-        self.report_state
-            .known_hosts
-            .retain(|address, known_hosts| {
-                let last_live_at = *known_hosts.last_live_at.get_or_insert(now);
-                let is_remembered = now.saturating_duration_since(last_live_at) < FORGET_AFTER;
-                *address != own && (is_remembered || live.contains(address))
-            });
-        if self.report_state.known_hosts.len() != previous {
+        let previous_count = self.report_state.known_hosts.len();
+        self.report_state.known_hosts.retain(|address, known| {
+            let last_live_at = *known.last_live_at.get_or_insert(now);
+            let is_remembered = now.saturating_duration_since(last_live_at) < FORGET_AFTER;
+            *address != own && (is_remembered || live.contains(address))
+        });
+        if self.report_state.known_hosts.len() != previous_count {
             self.stable_subsets.invalidate();
         }
     }
@@ -339,8 +338,8 @@
         }
         self.report_state.last_to_other_cells = Some(now);
         let mut by_cell: BTreeMap<u32, Vec<SocketAddr>> = BTreeMap::new();
-        for (address, known_hosts) in &self.report_state.known_hosts {
-            let host = known_hosts.host.as_deref().unwrap_or_default();
+        for (address, known) in &self.report_state.known_hosts {
+            let host = known.host.as_deref().unwrap_or_default();
             let cell = cell_of(host, self.cells);
             by_cell.entry(cell).or_default().push(*address);
         }
--- a/crates/jaypin_router/src/router/rollouts.rs
+++ b/crates/jaypin_router/src/router/rollouts.rs
@@ -6,7 +6,7 @@
 use jaypin_core::{BackendId, ServiceId, score};
 use rand::RngExt;
 
-use super::placing::{is_in_time, limit_at};
+use super::placing::{first_event_limit_on, is_in_time};
 use super::{Effect, Router};
 use crate::limits::slot_wait_limit;
 use crate::request::{Admitted, Request, Sent};
@@ -62,7 +62,7 @@
         for reported in &whole.rollouts {
             self.apply_order(reported.order.clone(), reported.age, now);
             if reported.is_end_lost {
-                self.rollouts.restore_end(&reported.order);
+                self.rollouts.mark_end_lost(&reported.order);
             }
             let rollout = self.rollouts.get_mut(&reported.order.service);
             let Some(rollout) = rollout.filter(|it| it.order.to == reported.order.to) else {
@@ -116,9 +116,9 @@
         if !self.may_watch(boot_time) {
             return;
         }
-        let turns = self.writers_before(now);
+        let preceding = self.writers_before(now);
         for rollout in self.rollouts.values_mut() {
-            fx.extend(rollout.next_write(turns, now).map(Effect::WriteRollout));
+            fx.extend(rollout.next_write(preceding, now).map(Effect::WriteRollout));
         }
     }
 
@@ -157,8 +157,8 @@
 
     /// Returns the version of a backend server if it is a canary version.
     pub(super) fn canary_version(&self, record: &BackendRecord) -> Option<SoftwareVersion> {
-        let is_trial = self.role_of(record) == VersionRole::Canary;
-        is_trial.then(|| record.version.clone())
+        let is_canary = self.role_of(record) == VersionRole::Canary;
+        is_canary.then(|| record.version.clone())
     }
 
     pub(super) fn update_stable_versions(&mut self) {
@@ -199,7 +199,11 @@
         let demand = self.demand(admitted, now);
         let slot_limit = slot_wait_limit(admitted);
         let serves = |backend: &Backend, choice: &Choice| {
-            is_in_time(choice, limit_at(backend, admitted, now), slot_limit)
+            is_in_time(
+                choice,
+                first_event_limit_on(backend, admitted, now),
+                slot_limit,
+            )
         };
         let subset = self.canary_subsets.own_subset(&admitted.service).iter();
         let subset = subset.filter_map(|id| self.backends.get(id));
@@ -220,10 +224,10 @@
 
     /// Counts a request that is sent to a backend server against the limit on canary requests.
     pub(super) fn count_exposure(&mut self, record: &BackendRecord) {
-        let is_trial = self.role_of(record) == VersionRole::Canary;
+        let is_canary = self.role_of(record) == VersionRole::Canary;
         if let Some(rollout) = self.rollouts.get_mut(&record.service) {
             rollout.exposure.count_request();
-            if is_trial {
+            if is_canary {
                 rollout.exposure.charge();
             }
         }
@@ -243,18 +247,18 @@
         let is_canary = role == VersionRole::Canary;
         let outcome = match outcome {
             AttemptOutcome::Complete => {
-                let first_credit = request.state.first_event_at;
-                let first_credit =
-                    first_credit.map(|at| at.saturating_duration_since(request.state.at));
+                let first_event_time = request.state.first_event_at;
+                let first_event_time =
+                    first_event_time.map(|at| at.saturating_duration_since(request.state.at));
                 let is_first_attempt = request.admitted.attempted.len() == 1;
-                let Some(first_credit) = first_credit.filter(|_| is_first_attempt) else {
+                let Some(first_event_time) = first_event_time.filter(|_| is_first_attempt) else {
                     return;
                 };
                 let tokens = request.admitted.prompt_tokens;
                 let is_baseline = role == VersionRole::Stable;
                 if self
                     .slow_answers
-                    .classify(route, first_credit, tokens, is_baseline)
+                    .classify(route, first_event_time, tokens, is_baseline)
                 {
                     Outcome::Slow
                 } else {
--- a/crates/jaypin_router/src/router/updates.rs
+++ b/crates/jaypin_router/src/router/updates.rs
@@ -29,9 +29,10 @@
 const PLACEMENT_TURN: Duration = Duration::from_millis(10);
 /// Number of priorities with such a time of their own; all lower ones share the last.
 const MAX_TURNS: u8 = 3;
-/// Number of backend servers that must crash while running a content before it is quarantined.
+/// Number of backend servers that must crash while running the same request content before it is
+/// quarantined.
 const CRASH_LIMIT: u32 = 3;
-/// Time for which a content stays quarantined after the last crash.
+/// Time for which a request content stays quarantined after the last crash.
 const QUARANTINE_TIME: Duration = Duration::from_mins(5);
 
 impl Router {
@@ -226,14 +227,15 @@
     /// Updates the part of each quota that this host may use, by the part of its cell from which
     /// it receives reports.
     fn refresh_quotas(&mut self, now: Instant) {
-        let part = if self.report_state.has_host_list() {
+        let fraction = if self.report_state.has_host_list() {
             let own_cell = |host: &&HostId| cell_of(host, self.cells) == self.cell;
             let discovered = self.report_state.recently_discovered(now).filter(own_cell);
             self.fleet.live_fraction(discovered, now)
         } else {
             INITIAL_FLEET_FRACTION
         };
-        self.quota.set_live_fraction(part / f64::from(self.cells));
+        self.quota
+            .set_live_fraction(fraction / f64::from(self.cells));
     }
 
     /// Updates the number of cells and the cell of this host.
@@ -293,7 +295,8 @@
         })
     }
 
-    /// Quarantines contents that crashed too many backend servers, and ends old quarantines.
+    /// Quarantines request contents that crashed too many backend servers, and ends old
+    /// quarantines.
     pub(super) fn update_quarantines(&mut self, now: Instant) {
         let quarantined = self.quarantine.judge(now, CRASH_LIMIT);
         if !quarantined.is_empty() {
@@ -302,7 +305,7 @@
         self.quarantine.expire(now, QUARANTINE_TIME);
     }
 
-    /// Returns the remaining time for which a content is quarantined, if it is.
+    /// Returns the remaining time for which a request content is quarantined, if it is.
     pub(super) fn quarantined_for(&self, fingerprint: u64, now: Instant) -> Option<Duration> {
         self.quarantine
             .held_for(now, fingerprint, CRASH_LIMIT, QUARANTINE_TIME)
--- a/crates/jaypin_router/src/router/watching.rs
+++ b/crates/jaypin_router/src/router/watching.rs
@@ -11,7 +11,8 @@
 /// one can fail without leaving the store unwatched.
 const WATCHERS: usize = 2;
 /// Age of the newest proof from which a host reads the store itself, and from which a peer no
-/// longer counts as a watcher.
+/// longer counts as a watcher. A proof is a time at which the configuration was known to be the
+/// newest.
 ///
 /// A response to a watch proves the state 1.2 s before it, the watch is renewed within a second,
 /// and the proof is reported at once, so proofs are less than 2.4 s old. If the store stops
@@ -99,14 +100,14 @@
             return false;
         }
         let own = score(WATCH_RANK_KEY, &self.cfg.host);
-        let is_better = |host: &HostId| score(WATCH_RANK_KEY, host) > own;
+        let precedes = |host: &HostId| score(WATCH_RANK_KEY, host) > own;
         let live = self.fleet.live_peers(now);
-        let live = live.filter(|(host, peer)| peer.may_watch && is_better(host));
+        let live = live.filter(|(host, peer)| peer.may_watch && precedes(host));
         let joining = self.report_state.recently_discovered(now).filter(|host| {
             is_joining
                 && self.fleet.peer(host).is_none()
                 && cell_of(host, self.cells) == self.cell
-                && is_better(host)
+                && precedes(host)
         });
         live.count() + joining.count() < WATCHERS
     }
