--- a/crates/jaypin_router/src/router/backend_signals.rs
+++ b/crates/jaypin_router/src/router/backend_signals.rs
@@ -1,5 +1,5 @@
-//! What this host makes of the signals of backend servers: who gets nothing new, and which
-//! part of a rate limit is its own.
+//! Effects of the signals of backend servers on this host: which of them get no new requests,
+//! and which part of a rate limit this host may use.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -11,18 +11,20 @@
 use crate::throttle::pause_at;
 use crate::{Backend, BackendSignals, DecisionInputs, Report, RequestNumber, SignalTable, cell_of};
 
-/// Hosts that share the rate limits of backend servers, as this host sees them.
+/// Hosts that share the rate limits of backend servers, as known to this host.
 #[derive(Debug)]
-struct Sharers {
+struct LimitSharers {
+    /// Hash of this host's name.
     own: u64,
     /// Whether this host is one of them.
-    is_one: bool,
+    is_included: bool,
+    /// Hashes of the names of the others.
     others: Vec<u64>,
 }
 
 impl Router {
-    /// Takes what an answer's header says of its backend server.
-    pub(super) fn signalled(
+    /// Applies the signals in a response header.
+    pub(super) fn handle_header(
         &mut self,
         now: Instant,
         number: RequestNumber,
@@ -39,27 +41,27 @@
         if let Some(backoff) = backoff {
             self.signals.record_backoff(&backend.record, backoff, now);
         }
-        let has_news = self.signals.record(&backend.record, signals, state.at, now);
-        if has_news {
-            self.load_telling.slot_changed(backend.key);
+        let has_changed = self.signals.record(&backend.record, signals, state.at, now);
+        if has_changed {
+            self.load_report_state.slot_changed(backend.key);
         }
-        if has_news || backoff.is_some() {
+        if has_changed || backoff.is_some() {
             self.apply_signals(now);
         }
     }
 
-    /// Takes what a peer's backend servers say of themselves.
-    pub(super) fn heard_of_signals(&mut self, report: &Report, now: Instant) {
-        let mut has_news = false;
-        for told in &report.signals {
-            has_news |= self.signals.apply_peer_report(told, now);
+    /// Applies the signals of backend servers in a peer's report.
+    pub(super) fn apply_reported_signals(&mut self, report: &Report, now: Instant) {
+        let mut has_changed = false;
+        for reported in &report.signals {
+            has_changed |= self.signals.apply_peer_report(reported, now);
         }
-        if has_news {
+        if has_changed {
             self.apply_signals(now);
         }
     }
 
-    /// Forgets old signals, and divides the limits anew among the hosts that are there now.
+    /// Removes old signals, and divides the rate limits anew among the current hosts.
     pub(super) fn refresh_signals(&mut self, now: Instant) {
         if self.signals.is_empty() {
             return;
@@ -72,18 +74,18 @@
         }
     }
 
-    /// Sets for each backend server whether it leaves or wants a pause, and how this host spaces its
-    /// requests.
+    /// Sets for each backend server whether it is leaving or has requested a backoff, and the
+    /// pause between two requests of this host.
     pub(super) fn apply_signals(&mut self, now: Instant) {
         let sharers = self.sharers(now);
         for backend in self.backends.values_mut() {
             if apply(&self.signals, backend, &sharers, now) {
-                self.views.invalidate();
+                self.stable_subsets.invalidate();
             }
         }
     }
 
-    /// The same for one backend server, whose entry has changed.
+    /// Applies the signals of one backend server, whose entry has changed.
     pub(super) fn apply_signals_of(&mut self, id: &str, now: Instant) {
         if self.signals.is_empty() {
             return;
@@ -93,11 +95,12 @@
             return;
         };
         if apply(&self.signals, backend, &sharers, now) {
-            self.views.invalidate();
+            self.stable_subsets.invalidate();
         }
     }
 
-    /// Time until a backend server of a service wants requests again; none where one does now.
+    /// Returns the time until a backend server of a service accepts requests again; zero if one
+    /// does now.
     pub(super) fn backoff_left(&self, service: &ServiceId, now: Instant) -> Duration {
         let ready = self.backends.values().filter(|it| it.is_ready());
         let of_service = ready.filter(|it| it.record.service == *service);
@@ -105,8 +108,8 @@
         left.min().unwrap_or_default()
     }
 
-    /// Why a service has no place for a request.
-    pub(super) fn no_place(&self, service: &ServiceId, now: Instant) -> DecisionInputs {
+    /// Returns why a service has no backend server for a request.
+    pub(super) fn no_backend_inputs(&self, service: &ServiceId, now: Instant) -> DecisionInputs {
         let all = self.backends.values();
         let of_service = all.filter(|it| it.record.service == *service);
         let backing_off = of_service.clone().filter(|it| it.is_backing_off(now));
@@ -116,60 +119,60 @@
         }
     }
 
-    /// Hosts that callers are sent to. Where none is, all that are heard.
-    fn sharers(&self, now: Instant) -> Sharers {
-        let heard = self.fleet.live_peers(now);
-        let ready = heard.filter(|(_, peer)| peer.is_ready);
+    /// Returns the hosts to which callers are sent; if there are none, all live hosts.
+    fn sharers(&self, now: Instant) -> LimitSharers {
+        let live = self.fleet.live_peers(now);
+        let ready = live.filter(|(_, peer)| peer.is_ready);
         let mut others: Vec<_> = ready.map(|(host, _)| hash(host)).collect();
         others.extend(self.ready_in_other_cells(now));
-        let is_one = self.was_ready || others.is_empty();
+        let is_included = self.was_ready || others.is_empty();
         if others.is_empty() && !self.was_ready {
-            let heard = self.fleet.live_peers(now);
-            others = heard.map(|(host, _)| hash(host)).collect();
+            let live = self.fleet.live_peers(now);
+            others = live.map(|(host, _)| hash(host)).collect();
         }
-        Sharers {
+        LimitSharers {
             own: hash(&self.cfg.host),
-            is_one,
+            is_included,
             others,
         }
     }
 
-    /// Other cells tell where their callers may connect; which hosts these are follows from
-    /// their network addresses.
+    /// Returns hashes of the ready hosts of other cells. Other cells report only the addresses
+    /// to which callers connect, so the hosts are identified by their IP addresses.
     fn ready_in_other_cells(&self, now: Instant) -> impl Iterator<Item = u64> {
         let callers = self.fleet.other_cell_callers(now);
         let ready: HashSet<_> = callers.map(|address| address.ip()).collect();
-        let found = self.telling.hosts_found();
-        let elsewhere = found.filter(|(host, _)| cell_of(host, self.cells) != self.cell);
+        let known = self.report_state.known_hosts();
+        let elsewhere = known.filter(|(host, _)| cell_of(host, self.cells) != self.cell);
         let elsewhere = elsewhere.filter(move |(_, address)| ready.contains(&address.ip()));
         elsewhere.map(|(host, _)| hash(&host))
     }
 }
 
-/// Sets what a backend server's signals mean for this host. Says whether it leaves as of now.
-fn apply(signals: &SignalTable, backend: &mut Backend, sharers: &Sharers, now: Instant) -> bool {
-    let said = signals.of(&backend.record);
+/// Applies the signals of one backend server. Returns whether it has just begun to leave.
+fn apply(signals: &SignalTable, backend: &mut Backend, sharers: &LimitSharers, now: Instant,) -> bool {
+    let stated = signals.of(&backend.record);
     backend.set_backoff_until(signals.backoff_until(&backend.record));
-    match said.rate_limit {
+    match stated.rate_limit {
         Some(rate) => backend.set_throttle(sharers.pause(backend, rate), now),
         None => backend.stop_throttling(),
     }
-    let leaves_now = said.is_leaving && backend.is_ready();
+    let leaves_now = stated.is_leaving && backend.is_ready();
     if leaves_now {
         backend.mark_leaving();
     }
     leaves_now
 }
 
-impl Sharers {
+impl LimitSharers {
     fn pause(&self, backend: &Backend, rate: f64) -> Option<Duration> {
-        if !self.is_one {
+        if !self.is_included {
             return None;
         }
         let backend = hash(&backend.record.id);
         let own = pair_score(self.own, backend);
         let others = self.others.iter();
-        let place = others.filter(|it| pair_score(**it, backend) > own).count();
-        pause_at(place, self.others.len() + 1, rate)
+        let position = others.filter(|it| pair_score(**it, backend) > own).count();
+        pause_at(position, self.others.len() + 1, rate)
     }
 }
--- a/crates/jaypin_router/src/router/mod.rs
+++ b/crates/jaypin_router/src/router/mod.rs
@@ -1,17 +1,17 @@
-//! The one reducer over all events of a host.
+//! The reducer of one host: it turns events into effects.
 
 mod arrival;
 mod attempt;
 mod backend_signals;
 mod event;
-mod knowledge;
-mod lapse;
+mod load_reporting;
+mod missing_entries;
 mod placing;
+mod reporting;
 mod rollouts;
 mod snapshot;
 mod store_era;
-mod telling;
-mod telling_loads;
+mod updates;
 mod watching;
 
 pub use event::{Bounds, Effect, Event, ExposureBound, RouterConfig, RouterCounts};
@@ -31,170 +31,178 @@
     CellIndex, Entries, Fleet, FleetQuota, MinimumShares, PeerLoads, RequestNumber, ResendBudget,
     Rollouts, RouteTable, SignalTable, Sizes, SlowAnswerDetector, WaitingList,
 };
-use lapse::Vanished;
+use load_reporting::LoadReportState;
+use missing_entries::MissingEntries;
+use reporting::ReportState;
 use store_era::KnownEra;
-use telling::Telling;
-use telling_loads::LoadTelling;
-use watching::Heard;
+use watching::ReportedStore;
 
-/// Time between two ticks when nothing is due.
+/// Longest pause between two ticks, which applies when nothing is due earlier.
 const LONGEST_TICK: Duration = Duration::from_millis(100);
-/// Pause between two looks through all peers: a silent one is noticed that much later.
+/// Pause between two refreshes of peers, cells and loads. A peer that falls silent is noticed up
+/// to this much later.
 const REFRESH_PAUSE: Duration = Duration::from_millis(50);
 
-/// The decision state of one host.
+/// Decision state of one host, which only [`Router::apply`] changes.
 #[derive(Debug)]
 pub struct Router {
     cfg: RouterConfig,
     rng: ChaCha8Rng,
     table: Option<Arc<RouteTable>>,
+    /// When the configuration was last known to be the newest, by the store or a peer.
     proved_at: Option<BootTime>,
-    own_proof: Option<BootTime>,
-    /// Whether the last call to the store gave nothing.
-    is_turned_away: bool,
-    /// The clock that counts suspended time, as it was read last.
+    /// When the store itself last confirmed this to this host.
+    own_proved_at: Option<BootTime>,
+    /// Whether the most recent call to the store failed.
+    last_store_call_failed: bool,
+    /// Latest reading of the boot clock, which also counts time while the host is suspended.
     last_boot_time: Option<BootTime>,
-    heard: Heard,
+    reported_store: ReportedStore,
     entries: Entries,
     cell: CellIndex,
     cells: u32,
-    views: BackendSubsets,
-    /// The same for backend servers with a version under trial.
-    trial_views: BackendSubsets,
+    /// Backend servers with a stable version that this host uses.
+    stable_subsets: BackendSubsets,
+    /// Backend servers with a canary version that this host uses.
+    canary_subsets: BackendSubsets,
     rollouts: Rollouts,
     slow_answers: SlowAnswerDetector,
     backends: BackendTable,
     signals: SignalTable,
-    vanished: Vanished,
+    missing_entries: MissingEntries,
     era: KnownEra,
     fleet: Fleet,
     peer_loads: PeerLoads,
     quota: FleetQuota,
     budgets: HashMap<ServiceId, ResendBudget>,
-    residence: HashMap<ServiceId, Duration>,
+    hold_times: HashMap<ServiceId, Duration>,
     sizes: Sizes,
-    asked: ArrivalRates,
-    floors: MinimumShares,
-    account_asked: AccountArrivals,
+    arrival_rates: ArrivalRates,
+    minimum_shares: MinimumShares,
+    account_arrivals: AccountArrivals,
     quarantine: Quarantine,
     waiting: WaitingList,
     sent: HashMap<RequestNumber, Request<Sent>>,
-    telling: Telling,
-    load_telling: LoadTelling,
-    /// When peers and cells were looked through last.
+    report_state: ReportState,
+    load_report_state: LoadReportState,
+    /// Time of the last refresh of peers, cells and loads.
     refreshed_at: Option<Instant>,
-    /// When the first event came.
+    /// Time of the first event.
     started_at: Option<Instant>,
     draining_since: Option<Instant>,
     was_ready: bool,
-    /// When waiting requests look for slots that peers told of.
-    look_at: Option<Instant>,
+    /// When waiting requests check again for a free slot.
+    next_placement_at: Option<Instant>,
 }
 
 impl Router {
-    /// Starts with nothing known.
+    /// Creates a router that knows no configuration, backend server or peer.
     #[must_use]
     pub fn new(cfg: RouterConfig) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(cfg.seed),
             table: None,
             proved_at: None,
-            own_proof: None,
-            is_turned_away: false,
+            own_proved_at: None,
+            last_store_call_failed: false,
             last_boot_time: None,
-            heard: Heard::default(),
+            reported_store: ReportedStore::default(),
             entries: Entries::default(),
             cell: 0,
             cells: 1,
-            views: BackendSubsets::default(),
-            trial_views: BackendSubsets::default(),
+            stable_subsets: BackendSubsets::default(),
+            canary_subsets: BackendSubsets::default(),
             rollouts: Rollouts::default(),
             slow_answers: SlowAnswerDetector::default(),
             backends: BackendTable::default(),
             signals: SignalTable::default(),
-            vanished: Vanished::default(),
+            missing_entries: MissingEntries::default(),
             era: KnownEra::default(),
             fleet: Fleet::default(),
             peer_loads: PeerLoads::default(),
             quota: FleetQuota::new(cfg.bounds.quota_window, cfg.bounds.quota_slack),
             budgets: HashMap::new(),
-            residence: HashMap::new(),
+            hold_times: HashMap::new(),
             sizes: Sizes::default(),
-            asked: ArrivalRates::default(),
-            floors: MinimumShares::default(),
-            account_asked: AccountArrivals::default(),
+            arrival_rates: ArrivalRates::default(),
+            minimum_shares: MinimumShares::default(),
+            account_arrivals: AccountArrivals::default(),
             quarantine: Quarantine::default(),
             waiting: WaitingList::default(),
             sent: HashMap::new(),
-            telling: Telling::default(),
-            load_telling: LoadTelling::default(),
+            report_state: ReportState::default(),
+            load_report_state: LoadReportState::default(),
             refreshed_at: None,
             started_at: None,
             draining_since: None,
             was_ready: false,
-            look_at: None,
+            next_placement_at: None,
             cfg,
         }
     }
 
-    /// Takes one event and says what is to be done.
+    /// Applies one event and returns the resulting effects in order.
     ///
-    /// Same events, same seed, same effects.
+    /// The same seed and the same events at the same times give the same effects.
     pub fn apply(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         let mut fx = Vec::new();
         self.started_at.get_or_insert(now);
         match event {
-            Event::ConfigurationLoaded(table) => self.configured(table, now),
-            Event::ConfigurationProved(at) => self.proved(at),
-            Event::ConfirmedByPeer(at) => self.vouched(at),
-            Event::StoreCallFailed => self.store_disturbed(now),
+            Event::ConfigurationLoaded(table) => self.apply_configuration(table, now),
+            Event::ConfigurationProved(at) => self.record_proof(at),
+            Event::ConfirmedByPeer(at) => self.record_peer_confirmation(at),
+            Event::StoreCallFailed => self.record_store_failure(now),
             Event::BackendsListed { entries, point } => {
-                self.backends_listed(entries, point, now);
+                self.apply_backend_list(entries, point, now);
             }
-            Event::StoreEra(era) => self.store_stated_era(era, now),
-            Event::BackendChanged(change) => self.backend_told(change, now),
-            Event::EntriesTransferred(entries) => self.entries_handed(entries, now),
-            Event::Arrived(arrival) => self.arrived(now, &arrival, &mut fx),
+            Event::StoreEra(era) => self.record_stated_era(era, now),
+            Event::BackendChanged(change) => self.apply_store_change(change, now),
+            Event::EntriesTransferred(entries) => self.apply_entry_snapshot(entries, now),
+            Event::Arrived(arrival) => self.handle_arrival(now, &arrival, &mut fx),
             Event::HeaderReceived {
                 number,
                 signals,
                 backoff,
-            } => self.signalled(now, number, signals, backoff),
-            Event::ResponseStarted(number) => self.answered(now, number),
+            } => self.handle_header(now, number, signals, backoff),
+            Event::ResponseStarted(number) => self.handle_response_start(now, number),
             Event::Streamed {
                 number,
                 events,
                 time,
-            } => self.streamed(number, events, time),
-            Event::AttemptEnded { number, outcome } => self.ended(now, number, outcome, &mut fx),
-            Event::CallerDisconnected(number) => self.caller_gone(number),
-            Event::HostsListed(hosts) => self.hosts_found(hosts, now),
-            Event::ReportReceived { report, boot_time } => self.reported(now, *report, boot_time),
-            Event::RolloutOrderRead(order) => self.rollout_told(order, now),
-            Event::Drain => self.drain(now, &mut fx),
+            } => self.handle_stream_events(number, events, time),
+            Event::AttemptEnded { number, outcome } => {
+                self.handle_attempt_end(now, number, outcome, &mut fx);
+            }
+            Event::CallerDisconnected(number) => self.handle_caller_disconnect(number),
+            Event::HostsListed(hosts) => self.apply_host_list(hosts, now),
+            Event::ReportReceived { report, boot_time } => {
+                self.handle_report(now, *report, boot_time);
+            }
+            Event::RolloutOrderRead(order) => self.apply_stored_order(order, now),
+            Event::Drain => self.start_draining(now, &mut fx),
             Event::Tick(boot_time) => self.tick(now, boot_time, &mut fx),
         }
-        self.tell(now, false, &mut fx);
-        self.tell_loads(now, &mut fx);
+        self.send_report(now, false, &mut fx);
+        self.send_load_reports(now, &mut fx);
         fx
     }
 
-    /// When a tick is due at the latest, whatever else happens.
+    /// Returns the latest time at which the next tick is due.
     #[must_use]
     pub fn next_tick(&self, now: Instant) -> Instant {
         let latest = now + LONGEST_TICK;
         let soonest = [
-            self.telling.due_at(),
-            self.load_telling.due_at(),
-            self.look_at,
+            self.report_state.due_at(),
+            self.load_report_state.due_at(),
+            self.next_placement_at,
             self.waiting.next_expiry(),
-            self.vanished.next_due(),
+            self.missing_entries.next_due(),
         ];
         let soonest = soonest.into_iter().flatten().min();
         soonest.map_or(latest, |at| at.clamp(now, latest))
     }
 
-    /// Counts for metrics and status.
+    /// Returns counts for metrics and the status page.
     #[must_use]
     pub fn counts(&self, now: Instant) -> RouterCounts {
         let backends = self.backends.values();
@@ -208,7 +216,8 @@
         }
     }
 
-    /// What a backend server's answers said of it last.
+    /// Returns the latest signals of a backend server, from response headers to this host or its
+    /// peers. They are empty if none are known.
     #[must_use]
     pub fn signals_of(&self, backend: &str) -> BackendSignals {
         let backend = self.backends.get(backend);
@@ -216,8 +225,9 @@
         signals.unwrap_or_default()
     }
 
-    /// Whether a request that was chosen for a backend server may still be sent there: it may
-    /// have said something since.
+    /// Returns whether a request that was already assigned to a backend server may still be sent
+    /// there. The backend server may have announced that it leaves, or requested a backoff,
+    /// since the assignment.
     #[must_use]
     pub fn still_accepts(&self, backend: &str, now: Instant) -> bool {
         let backend = self.backends.get(backend);
@@ -228,12 +238,13 @@
         self.signals.of(&backend.record).rate_limit.is_some()
     }
 
-    /// Peers that were heard lately.
+    /// Returns the peers that reported recently.
     pub fn live_peers(&self, now: Instant) -> impl Iterator<Item = &HostId> {
         self.fleet.live_peers(now).map(|(host, _)| host)
     }
 
-    /// Addresses that callers may use now, by what this host knows.
+    /// Returns the addresses to which callers may connect now: those of ready live peers, of
+    /// other cells, and of this host if it is ready.
     #[must_use]
     pub fn caller_addresses(&self, now: Instant, boot_time: BootTime) -> Vec<SocketAddr> {
         let ready = self.fleet.live_peers(now).filter(|(_, peer)| peer.is_ready);
@@ -247,25 +258,26 @@
         addresses
     }
 
-    /// Whether callers should be sent to this host.
+    /// Returns whether callers may be sent to this host: it is not draining and its
+    /// configuration is proved.
     #[must_use]
     pub fn is_ready(&self, boot_time: BootTime) -> bool {
         self.draining_since.is_none() && self.is_proved(boot_time)
     }
 
-    /// Whether nothing is left to do for a caller.
+    /// Returns whether no request is waiting or running.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.sent.is_empty()
     }
 
-    /// What callers may send, once a configuration says so.
+    /// Returns the route table of the configuration in use; none before the first configuration.
     #[must_use]
     pub fn table(&self) -> Option<&Arc<RouteTable>> {
         self.table.as_ref()
     }
 
-    /// Version of the configuration in use; 0 before any.
+    /// Returns the version of the configuration in use; 0 before the first.
     #[must_use]
     pub fn version(&self) -> u64 {
         let table = self.table.as_ref();
@@ -277,26 +289,26 @@
         let is_ready = self.is_ready(boot_time);
         if is_ready != self.was_ready {
             self.was_ready = is_ready;
-            self.telling.has_news();
+            self.report_state.report_soon();
         }
-        self.drop_vanished(now);
-        self.judge_deaths(now);
+        self.drop_missing_backends(now);
+        self.update_quarantines(now);
         let is_time = |at: Instant| now.saturating_duration_since(at) >= REFRESH_PAUSE;
         if self.refreshed_at.is_none_or(is_time) {
             self.refreshed_at = Some(now);
-            self.refresh_found(now);
+            self.forget_silent_hosts(now);
             self.refresh_peers(now);
             self.refresh_cells();
             self.refresh_own_loads(now);
             self.refresh_signals(now);
-            self.judge_rollouts(now, boot_time, fx);
+            self.evaluate_rollouts(now, boot_time, fx);
         }
         self.place_waiting(now, fx);
     }
 
-    fn drain(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    fn start_draining(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.draining_since.get_or_insert(now);
         self.was_ready = false;
-        self.tell(now, true, fx);
+        self.send_report(now, true, fx);
     }
 }
