--- a/crates/jaypin_entry/src/callers/attempt.rs
+++ b/crates/jaypin_entry/src/callers/attempt.rs
@@ -11,18 +11,18 @@
 use jaypin_router::{AttemptOutcome, BackendSignals, BackendStatus, Event};
 use tokio::time::{Instant, sleep_until, timeout};
 
-use super::delivery::{Delivery, pass_on};
-use super::drive::Drive;
-use super::event_times::CallPace;
+use super::delivery::{Delivery, forward_response};
+use super::event_timing::EventRate;
+use super::request_task::RequestTask;
 use crate::calls::{
-    CallError, Connection, DEFAULT_LIMITS, SendOrder, connect, event_id, read_whole,
+    CallError, Connection, DEFAULT_TIMEOUTS, SendOrder, connect, event_id, read_response,
 };
 use crate::ports::{BackendResponse, ForwardContext};
 
 /// Header with which a stream is gone on with, by the standard of server-sent events.
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
-impl Drive {
+impl RequestTask {
     /// Sends the request as ordered and passes on what comes; says how the call ended.
     pub(super) async fn attempt(&mut self, order: &SendOrder) -> AttemptOutcome {
         let mut delivery = std::mem::replace(&mut self.delivery, Delivery::Done);
@@ -40,9 +40,9 @@
     }
 
     async fn is_reachable(&self, order: &SendOrder) -> bool {
-        match connect(&order.address, DEFAULT_LIMITS).await {
+        match connect(&order.address, DEFAULT_TIMEOUTS).await {
             Ok(connection) => {
-                self.host.connections.give_back(connection);
+                self.host.connections.release(connection);
                 true
             }
             Err(_) => false,
@@ -51,68 +51,68 @@
 
     async fn call_backend(&mut self, order: &SendOrder, delivery: &mut Delivery) -> AttemptOutcome {
         let (mut connection, response) = loop {
-            let taken = tokio::select! {
-                taken = self.host.connections.take(&order.address) => taken,
-                () = delivery.caller_gone() => return AttemptOutcome::Abandoned,
+            let acquired = tokio::select! {
+                acquired = self.host.connections.acquire(&order.address) => acquired,
+                () = delivery.caller_disconnected() => return AttemptOutcome::Abandoned,
             };
-            let Ok(mut connection) = taken else {
+            let Ok(mut connection) = acquired else {
                 return AttemptOutcome::Unreached;
             };
-            if !self.host.still_takes(&order.backend) {
-                self.host.connections.give_back(connection);
+            if !self.host.may_send_to(&order.backend) {
+                self.host.connections.release(connection);
                 return AttemptOutcome::Withheld;
             }
-            let req = self.request(order);
-            let silence = order.silence.filter(|_| !delivery.is_streaming());
-            let answered = tokio::select! {
-                answered = within(silence, connection.call(req)) => answered,
-                () = delivery.caller_gone() => return AttemptOutcome::Abandoned,
+            let req = self.backend_request(order);
+            let limit = order.first_event_timeout.filter(|_| !delivery.is_streaming());
+            let sent = tokio::select! {
+                sent = with_timeout(limit, connection.call(req)) => sent,
+                () = delivery.caller_disconnected() => return AttemptOutcome::Abandoned,
             };
-            match answered {
+            match sent {
                 None => return AttemptOutcome::Silent,
                 Some(Ok(response)) => break (connection, response),
                 // It had been closed while idle; a new one tells more.
                 Some(Err(CallError::NotSent)) if connection.is_reused => {}
                 Some(Err(CallError::NotSent)) => return AttemptOutcome::Unreached,
-                Some(Err(CallError::Broken)) => return AttemptOutcome::Lost,
+                Some(Err(CallError::Interrupted)) => return AttemptOutcome::Lost,
             }
         };
-        connection.note_answer(response.headers());
+        connection.update_expiry(response.headers());
         let status = response.status();
-        let says = self
+        let backend_head = self
             .host
             .platform
             .parse_backend_response(status, response.headers());
-        if let Some(outcome) = self.misplaced(&says, &response) {
+        if let Some(outcome) = self.invalid_response(&backend_head, &response) {
             return outcome;
         }
-        self.note_signals(order, &says);
-        if says.is_not_run {
-            return self.declined(connection, response, &says).await;
+        self.apply_signals(order, &backend_head);
+        if backend_head.is_not_run {
+            return self.not_run(connection, response, &backend_head).await;
         }
         if status.is_success() && order.repeat.is_stream() {
-            return self.stream(order, connection, response, delivery).await;
+            return self.forward_stream(order, connection, response, delivery).await;
         }
-        self.whole(connection, response, delivery).await
+        self.forward_whole(connection, response, delivery).await
     }
 
     /// Tells the reducer what the backend server says of itself, and logs a change.
-    fn note_signals(&self, order: &SendOrder, says: &BackendResponse) {
+    fn apply_signals(&self, order: &SendOrder, head: &BackendResponse) {
         let backend = &order.backend;
         // The server that answered is not the one that is known by this id.
-        if says.is_misdirected {
+        if head.is_misdirected {
             return;
         }
         let number = self.number;
-        let before = self.host.look(|router| router.signals_of(backend));
-        let rate_limit = match &says.rate_limit {
+        let before = self.host.read(|router| router.signals_of(backend));
+        let rate_limit = match &head.rate_limit {
             Ok(rate_limit) => *rate_limit,
             Err(error) => {
                 log::warn!(backend, error:%; "signals of a backend server make no sense");
                 before.rate_limit
             }
         };
-        let backoff = match &says.backoff {
+        let backoff = match &head.backoff {
             Ok(backoff) => *backoff,
             Err(error) => {
                 log::warn!(backend, error:%; "the backoff that a backend server requests makes no sense");
@@ -125,14 +125,14 @@
         }
         let signals = BackendSignals {
             rate_limit,
-            is_leaving: says.status == BackendStatus::Leaving,
+            is_leaving: head.status == BackendStatus::Leaving,
         };
         self.host.apply(Event::HeaderReceived {
             number,
             signals,
             backoff,
         });
-        let after = self.host.look(|router| router.signals_of(backend));
+        let after = self.host.read(|router| router.signals_of(backend));
         if before != after {
             log::info!(backend, before:?, after:?; "signals of a backend server changed");
         }
@@ -142,78 +142,78 @@
     ///
     /// Guards against answers that come late or twice: on a kept connection they would be
     /// taken for the next request's, and one caller would get another's data.
-    fn misplaced(
+    fn invalid_response(
         &self,
-        says: &BackendResponse,
+        head: &BackendResponse,
         response: &Response<Incoming>,
     ) -> Option<AttemptOutcome> {
-        let is_other = says.id.as_ref().is_some_and(|id| *id != self.call.says.id);
+        let is_other = head.id.as_ref().is_some_and(|id| *id != self.received.header.id);
         let is_success = response.status().is_success();
-        let is_unmarked = is_success && (!says.is_from_backend || says.id.is_none());
+        let is_unmarked = is_success && (!head.is_from_backend || head.id.is_none());
         let is_encoded = response.headers().contains_key(CONTENT_ENCODING);
         (is_other || is_unmarked || is_encoded).then_some(AttemptOutcome::Lost)
     }
 
-    async fn declined(
+    async fn not_run(
         &self,
         connection: Connection,
         response: Response<Incoming>,
-        says: &BackendResponse,
+        head: &BackendResponse,
     ) -> AttemptOutcome {
-        if read_whole(response).await.is_some() {
-            self.host.connections.give_back(connection);
+        if read_response(response).await.is_some() {
+            self.host.connections.release(connection);
         }
-        if says.is_misdirected {
+        if head.is_misdirected {
             AttemptOutcome::Replaced
         } else {
             AttemptOutcome::NotRun
         }
     }
 
-    async fn whole(
+    async fn forward_whole(
         &mut self,
         connection: Connection,
         response: Response<Incoming>,
         delivery: &mut Delivery,
     ) -> AttemptOutcome {
-        let answer = tokio::select! {
-            answer = read_whole(response) => answer,
-            () = delivery.caller_gone() => return AttemptOutcome::Abandoned,
+        let read = tokio::select! {
+            read = read_response(response) => read,
+            () = delivery.caller_disconnected() => return AttemptOutcome::Abandoned,
         };
-        let Some(answer) = answer else {
+        let Some(response) = read else {
             return AttemptOutcome::Lost;
         };
-        self.host.connections.give_back(connection);
-        if answer.status.is_server_error() {
-            self.failure = Some(answer);
+        self.host.connections.release(connection);
+        if response.status.is_server_error() {
+            self.failure = Some(response);
             return AttemptOutcome::Failed;
         }
         self.host.apply(Event::ResponseStarted(self.number));
-        delivery.finish(pass_on(answer));
+        delivery.send_response(forward_response(response));
         AttemptOutcome::Complete
     }
 
-    async fn stream(
+    async fn forward_stream(
         &mut self,
         order: &SendOrder,
         connection: Connection,
         response: Response<Incoming>,
         delivery: &mut Delivery,
     ) -> AttemptOutcome {
-        let (head, mut body) = response.into_parts();
+        let (parts, mut body) = response.into_parts();
         let mut reader = EventReader::default();
-        let mut pace = CallPace::default();
+        let mut rate = EventRate::default();
         let sent_at = Instant::now();
-        let mut is_answered = false;
+        let mut has_first_event = false;
         loop {
-            let silence = if is_answered {
-                order.longest_pause
+            let limit = if has_first_event {
+                order.event_gap_timeout
             } else {
-                order.silence.map(|it| it.saturating_sub(sent_at.elapsed()))
+                order.first_event_timeout.map(|it| it.saturating_sub(sent_at.elapsed()))
             };
             let frame = tokio::select! {
-                frame = within(silence, body.frame()) => frame,
-                () = delivery.caller_gone() => return AttemptOutcome::Abandoned,
+                frame = with_timeout(limit, body.frame()) => frame,
+                () = delivery.caller_disconnected() => return AttemptOutcome::Abandoned,
             };
             let bytes = match frame {
                 None => return AttemptOutcome::Silent,
@@ -230,14 +230,14 @@
                 if id.is_some() && id <= self.last_id {
                     continue;
                 }
-                if !is_answered {
-                    is_answered = true;
+                if !has_first_event {
+                    has_first_event = true;
                     self.host.apply(Event::ResponseStarted(self.number));
-                    delivery.begin(head.status, &head.headers);
+                    delivery.begin_stream(parts.status, &parts.headers);
                 }
                 self.last_id = id.or(self.last_id);
-                self.times.saw_event();
-                if let Some((events, time)) = pace.saw_event() {
+                self.times.record_event();
+                if let Some((events, time)) = rate.record_event() {
                     let number = self.number;
                     self.host.apply(Event::Streamed {
                         number,
@@ -245,33 +245,33 @@
                         time,
                     });
                 }
-                if !delivery.event(event).await {
+                if !delivery.send_event(event).await {
                     return AttemptOutcome::Abandoned;
                 }
             }
         }
-        if reader.has_rest() || !is_answered {
+        if reader.has_rest() || !has_first_event {
             return AttemptOutcome::Lost;
         }
-        delivery.end().await;
-        self.host.connections.give_back(connection);
+        delivery.end_stream().await;
+        self.host.connections.release(connection);
         AttemptOutcome::Complete
     }
 
-    fn request(&self, order: &SendOrder) -> Request<Full<Bytes>> {
+    fn backend_request(&self, order: &SendOrder) -> Request<Full<Bytes>> {
         let time_left = order.deadline.saturating_duration_since(Instant::now());
         let forward = ForwardContext {
             backend: &order.backend,
             account: order.asked_by.account.as_ref(),
             time_left,
         };
-        let mut req = Request::new(Full::new(self.call.body.clone()));
-        *req.method_mut() = self.call.method.clone();
-        *req.uri_mut() = origin_form(&self.call.uri);
+        let mut req = Request::new(Full::new(self.received.body.clone()));
+        *req.method_mut() = self.received.method.clone();
+        *req.uri_mut() = origin_form(&self.received.uri);
         *req.headers_mut() = self
             .host
             .platform
-            .forwarded_headers(&self.call.headers, &forward);
+            .forwarded_headers(&self.received.headers, &forward);
         if let Some(id) = self.last_id {
             let value = HeaderValue::from(id);
             req.headers_mut().insert(LAST_EVENT_ID, value);
@@ -287,7 +287,7 @@
     path.map(Uri::from).unwrap_or_default()
 }
 
-async fn within<T>(limit: Option<Duration>, future: impl Future<Output = T>) -> Option<T> {
+async fn with_timeout<T>(limit: Option<Duration>, future: impl Future<Output = T>) -> Option<T> {
     match limit {
         Some(limit) => timeout(limit, future).await.ok(),
         None => Some(future.await),
--- a/crates/jaypin_entry/src/callers/delivery.rs
+++ b/crates/jaypin_entry/src/callers/delivery.rs
@@ -11,17 +11,17 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use tokio::sync::{mpsc, oneshot};
 
-use super::answer::{AnswerBody, AnswerResponse, full};
-use crate::calls::WholeAnswer;
+use super::response::{HttpResponse, ResponseBody, full_body};
+use crate::calls::BufferedResponse;
 
 /// Events that may wait for a slow caller; with more, its backend server has to wait.
-const EVENT_BUFFER: usize = 16;
+const EVENT_BUFFER_LEN: usize = 16;
 
 /// Where the answer of one request goes.
 #[derive(Debug)]
 pub enum Delivery {
     /// Nothing was answered.
-    Open(oneshot::Sender<AnswerResponse>),
+    Pending(oneshot::Sender<HttpResponse>),
     /// A stream was begun.
     Streaming(mpsc::Sender<io::Result<Bytes>>),
     /// Everything was answered.
@@ -30,9 +30,9 @@
 
 impl Delivery {
     /// Ends when the caller has left.
-    pub async fn caller_gone(&mut self) {
+    pub async fn caller_disconnected(&mut self) {
         match self {
-            Self::Open(tx) => tx.closed().await,
+            Self::Pending(tx) => tx.closed().await,
             Self::Streaming(tx) => tx.closed().await,
             Self::Done => std::future::pending().await,
         }
@@ -45,16 +45,16 @@
 
     /// Gives a whole answer; a stream that was begun is broken off instead, so that no
     /// caller takes a part for the whole.
-    pub fn finish(&mut self, response: AnswerResponse) {
+    pub fn send_response(&mut self, response: HttpResponse) {
         match std::mem::replace(self, Self::Done) {
-            Self::Open(tx) => {
+            Self::Pending(tx) => {
                 // A caller that has left in this moment needs no answer.
                 let _ = tx.send(response);
             }
             Self::Streaming(tx) => {
                 let cut = io::Error::other("the stream can't be completed");
                 // Full or closed: dropping the sender without the end marks the cut, as
-                // `Events` ends well only when it is told to.
+                // `EventBody` ends well only when it is told to.
                 let _ = tx.try_send(Err(cut));
             }
             Self::Done => {}
@@ -62,30 +62,30 @@
     }
 
     /// Begins a stream with the header of its first backend server.
-    pub fn begin(&mut self, status: StatusCode, headers: &HeaderMap) {
-        if let Self::Open(_) = self {
-            let (tx, rx) = mpsc::channel(EVENT_BUFFER);
-            let Self::Open(reply) = std::mem::replace(self, Self::Streaming(tx)) else {
+    pub fn begin_stream(&mut self, status: StatusCode, headers: &HeaderMap) {
+        if let Self::Pending(_) = self {
+            let (tx, rx) = mpsc::channel(EVENT_BUFFER_LEN);
+            let Self::Pending(reply) = std::mem::replace(self, Self::Streaming(tx)) else {
                 return;
             };
-            let body = Events {
+            let body = EventBody {
                 rx,
                 is_ended: false,
             };
-            let _ = reply.send(respond(status, headers, body.boxed_unsync()));
+            let _ = reply.send(build_response(status, headers, body.boxed_unsync()));
         }
     }
 
     /// Passes an event on; says whether the caller still takes them.
-    pub async fn event(&mut self, event: Bytes) -> bool {
+    pub async fn send_event(&mut self, event: Bytes) -> bool {
         match self {
             Self::Streaming(tx) => tx.send(Ok(event)).await.is_ok(),
-            Self::Open(_) | Self::Done => false,
+            Self::Pending(_) | Self::Done => false,
         }
     }
 
     /// Ends a stream well.
-    pub async fn end(&mut self) {
+    pub async fn end_stream(&mut self) {
         if let Self::Streaming(tx) = std::mem::replace(self, Self::Done) {
             // An empty chunk is the mark of a good end.
             let _ = tx.send(Ok(Bytes::new())).await;
@@ -94,11 +94,11 @@
 }
 
 /// A backend server's whole answer, as it came.
-pub fn pass_on(answer: WholeAnswer) -> AnswerResponse {
-    respond(answer.status, &answer.headers, full(answer.body))
+pub fn forward_response(response: BufferedResponse) -> HttpResponse {
+    build_response(response.status, &response.headers, full_body(response.body))
 }
 
-fn respond(status: StatusCode, headers: &HeaderMap, body: AnswerBody) -> AnswerResponse {
+fn build_response(status: StatusCode, headers: &HeaderMap, body: ResponseBody) -> HttpResponse {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     let kept = headers.iter().filter(|(name, _)| {
@@ -119,12 +119,12 @@
 /// Guards against a stream that ends early and looks whole: without the mark of a good
 /// end, a closed channel breaks the connection off.
 #[derive(Debug)]
-struct Events {
+struct EventBody {
     rx: mpsc::Receiver<io::Result<Bytes>>,
     is_ended: bool,
 }
 
-impl Body for Events {
+impl Body for EventBody {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/crates/jaypin_entry/src/callers/event_times.rs
+++ b/crates/jaypin_entry/src/callers/event_timing.rs
@@ -6,8 +6,8 @@
 
 /// Events of a stream, or time that they took, after which the decisions are told of them: an
 /// engine that turns slow shows within two events.
-const TOLD_EVENTS: u32 = 8;
-const TOLD_TIME: Duration = Duration::from_millis(150);
+const REPORT_EVENTS: u32 = 8;
+const REPORT_TIME: Duration = Duration::from_millis(150);
 
 /// When the first event of a request came, and the longest time between two.
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
 
 impl EventTimes {
     /// Notes an event.
-    pub fn saw_event(&mut self) {
+    pub fn record_event(&mut self) {
         let now = Instant::now();
         self.first.get_or_insert(now);
         if let Some(last) = self.last.replace(now) {
@@ -32,20 +32,20 @@
 
 /// How fast one backend server makes the events of one call.
 #[derive(Debug, Default)]
-pub struct CallPace {
+pub struct EventRate {
     last: Option<Instant>,
     events: u32,
     time: Duration,
 }
 
-impl CallPace {
+impl EventRate {
     /// Notes an event; now and then gives what the decisions should hear.
-    pub fn saw_event(&mut self) -> Option<(u32, Duration)> {
+    pub fn record_event(&mut self) -> Option<(u32, Duration)> {
         let now = Instant::now();
         let last = self.last.replace(now)?;
         self.events += 1;
         self.time += now - last;
-        let is_due = self.events >= TOLD_EVENTS || self.time >= TOLD_TIME;
+        let is_due = self.events >= REPORT_EVENTS || self.time >= REPORT_TIME;
         is_due.then(|| {
             (
                 std::mem::take(&mut self.events),
--- a/crates/jaypin_entry/src/callers/mod.rs
+++ b/crates/jaypin_entry/src/callers/mod.rs
@@ -1,15 +1,15 @@
 //! HTTP towards callers.
 
-mod answer;
 mod attempt;
 mod delivery;
 mod directory;
-mod drive;
-mod event_times;
+mod event_timing;
 mod read_request;
+mod request_task;
+mod response;
 
-pub use answer::{AnswerResponse, bytes_answer, empty_answer};
-pub use directory::{serve_answers, serve_questions};
+pub use directory::{serve_queries, serve_responses};
+pub use response::{HttpResponse, bytes_response, empty_response};
 
 use std::convert::Infallible;
 use std::io;
@@ -28,7 +28,7 @@
 use tokio::task::spawn_local;
 
 use crate::host::Host;
-use answer::closing;
+use response::with_connection_close;
 
 /// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1_024;
@@ -36,19 +36,19 @@
 ///
 /// The same timer bounds a header that never ends and a connection that is idle between
 /// two requests, and callers use connections again for most of the configured idle time.
-const LEAST_IDLE: Duration = Duration::from_secs(20);
+const MIN_IDLE_TIME: Duration = Duration::from_secs(20);
 /// Factor on the configured idle time, so that no request crosses our close.
 const IDLE_FACTOR: f64 = 1.3;
 /// Largest header when no configuration is known yet, in bytes.
-const DEFAULT_HEADER: usize = 16 * 1024;
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
 /// Smallest buffer that the HTTP library takes, in bytes.
-const LEAST_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 /// Pause after a connection could not be accepted: descriptors have to come free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 /// Time without an acknowledgement after which a caller's connection is given up.
 const USER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Idle time before a keep-alive probe, and pause between probes.
-const KEEPALIVE: Duration = Duration::from_secs(5);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Opens a listener.
 ///
@@ -61,8 +61,8 @@
     // Accepted sockets inherit these. They end connections that went silent towards
     // callers: no close arrives, and writes would pile up.
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     socket.set_tcp_nodelay(true)?;
@@ -73,25 +73,25 @@
 
 /// How far a host is on its way out, as connections see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Leaving {
+pub enum DrainPhase {
     /// It stays.
-    No,
+    Serving,
     /// Each answer closes its connection.
-    AnswersClose,
+    CloseAfterResponse,
     /// Idle connections are closed.
-    IdleCloses,
+    CloseIdle,
 }
 
 /// Accepts callers until the task is dropped.
 pub async fn serve_callers(
     host: Rc<Host>,
     listener: TcpListener,
-    leaving: watch::Receiver<Leaving>,
+    phase: watch::Receiver<DrainPhase>,
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                spawn_local(serve(host.clone(), stream, leaving.clone()));
+                spawn_local(serve(host.clone(), stream, phase.clone()));
             }
             Err(error) => {
                 log::warn!(error:%; "can't accept a connection");
@@ -101,49 +101,49 @@
     }
 }
 
-async fn serve(host: Rc<Host>, stream: TcpStream, mut leaving: watch::Receiver<Leaving>) {
+async fn serve(host: Rc<Host>, stream: TcpStream, mut phase: watch::Receiver<DrainPhase>) {
     let (header_bytes, idle) = limits(&host);
-    let answering = leaving.clone();
+    let response_phase = phase.clone();
     let service = service_fn(move |req| {
-        let (host, answering) = (host.clone(), answering.clone());
-        async move { Ok::<_, Infallible>(answer(host, req, &answering).await) }
+        let (host, phase) = (host.clone(), response_phase.clone());
+        async move { Ok::<_, Infallible>(respond(host, req, &phase).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
-        .max_buf_size(header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
         _ = connection.as_mut() => return,
-        _ = leaving.wait_for(|it| *it == Leaving::IdleCloses) => {}
+        _ = phase.wait_for(|it| *it == DrainPhase::CloseIdle) => {}
     }
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
 
 fn limits(host: &Host) -> (usize, Duration) {
-    let limits = host.look(|router| {
+    let limits = host.read(|router| {
         let table = router.table()?;
         let limits = &table.configuration().limits;
         Some((limits.header_bytes, limits.idle_time.mul_f64(IDLE_FACTOR)))
     });
-    let (header_bytes, idle) = limits.unwrap_or((DEFAULT_HEADER, LEAST_IDLE));
-    (header_bytes, idle.max(LEAST_IDLE))
+    let (header_bytes, idle) = limits.unwrap_or((DEFAULT_MAX_HEADER_BYTES, MIN_IDLE_TIME));
+    (header_bytes, idle.max(MIN_IDLE_TIME))
 }
 
-async fn answer(
+async fn respond(
     host: Rc<Host>,
     req: Request<Incoming>,
-    leaving: &watch::Receiver<Leaving>,
-) -> AnswerResponse {
+    phase: &watch::Receiver<DrainPhase>,
+) -> HttpResponse {
     let response = match read_request::read(&host, req).await {
-        Ok(call) => drive::start(host, call).await,
-        Err(error) => answer::unreadable(&error),
+        Ok(received) => request_task::start(host, received).await,
+        Err(error) => response::read_error_response(&error),
     };
-    if *leaving.borrow() == Leaving::No {
+    if *phase.borrow() == DrainPhase::Serving {
         response
     } else {
-        closing(response)
+        with_connection_close(response)
     }
 }
--- a/crates/jaypin_entry/src/callers/read_request.rs
+++ b/crates/jaypin_entry/src/callers/read_request.rs
@@ -14,25 +14,25 @@
 use crate::ports::CallerRequest;
 
 /// Largest body when no configuration is known yet, in bytes.
-const DEFAULT_BODY: usize = 1024 * 1024;
+const DEFAULT_MAX_BODY_BYTES: usize = 1024 * 1024;
 /// Time for a caller to send its body, where it states no patience.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a request was turned away before a decision.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
     /// A header makes no sense.
-    #[snafu(display("{what}"))]
+    #[snafu(display("{message}"))]
     Header {
         /// Which one, and why.
-        what: String,
+        message: String,
     },
     /// The body is too large.
     #[snafu(display("the body is larger than the configuration allows"))]
     TooLarge,
     /// The body did not come whole in time.
     #[snafu(display("the body did not arrive whole in time"))]
-    Cut,
+    Incomplete,
 }
 
 impl ReadError {
@@ -41,7 +41,7 @@
         match self {
             Self::Header { .. } => StatusCode::BAD_REQUEST,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::Cut => StatusCode::REQUEST_TIMEOUT,
+            Self::Incomplete => StatusCode::REQUEST_TIMEOUT,
         }
     }
 
@@ -50,14 +50,14 @@
         match self {
             Self::Header { .. } => "header",
             Self::TooLarge => "too-large",
-            Self::Cut => "body-cut",
+            Self::Incomplete => "body-cut",
         }
     }
 }
 
 /// A request that was read whole.
 #[derive(Debug)]
-pub struct CallerCall {
+pub struct ReceivedRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query, as the caller sent them.
@@ -67,7 +67,7 @@
     /// Its body.
     pub body: Bytes,
     /// What its header says.
-    pub says: CallerRequest,
+    pub header: CallerRequest,
     /// Fingerprint of path, caller and body.
     pub fingerprint: u64,
     /// When its header was read.
@@ -78,29 +78,31 @@
 ///
 /// # Errors
 /// Says why it is turned away.
-pub async fn read(host: &Host, req: Request<Incoming>) -> Result<CallerCall, ReadError> {
+pub async fn read(host: &Host, req: Request<Incoming>) -> Result<ReceivedRequest, ReadError> {
     let received_at = Instant::now();
     let (head, body) = req.into_parts();
-    let says = host.platform.parse_caller_request(&head.headers);
-    let says = says.map_err(|error| ReadError::Header { what: error.what })?;
-    let patience = says.timeout.unwrap_or(BODY_TIME);
-    let largest = host.look(|router| {
+    let header = host.platform.parse_caller_request(&head.headers);
+    let header = header.map_err(|error| ReadError::Header {
+        message: error.message, })?;
+    let body_timeout = header.timeout.unwrap_or(DEFAULT_BODY_TIMEOUT);
+    let max_bytes = host.read(|router| {
         let table = router.table();
-        table.map_or(DEFAULT_BODY, |it| it.configuration().limits.body_bytes)
+        table.map_or(DEFAULT_MAX_BODY_BYTES, |it| { it.configuration().limits.body_bytes
+        })
     });
-    let collected = timeout(patience, Limited::new(body, largest).collect()).await;
+    let collected = timeout(body_timeout, Limited::new(body, max_bytes).collect()).await;
     let body = match collected {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(ReadError::TooLarge),
-        Ok(Err(_)) | Err(_) => return Err(ReadError::Cut),
+        Ok(Err(_)) | Err(_) => return Err(ReadError::Incomplete),
     };
-    let fingerprint = fingerprint(&head.uri, says.credential.as_deref(), &body);
-    Ok(CallerCall {
+    let fingerprint = fingerprint(&head.uri, header.credential.as_deref(), &body);
+    Ok(ReceivedRequest {
         method: head.method,
         uri: head.uri,
         headers: head.headers,
         body,
-        says,
+        header,
         fingerprint,
         received_at,
     })
--- a/crates/jaypin_entry/src/callers/drive.rs
+++ b/crates/jaypin_entry/src/callers/request_task.rs
@@ -7,12 +7,12 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-use super::answer::{AnswerResponse, refusal, rejection};
-use super::delivery::{Delivery, pass_on};
-use super::event_times::EventTimes;
-use super::read_request::CallerCall;
+use super::delivery::{Delivery, forward_response};
+use super::event_timing::EventTimes;
+use super::read_request::ReceivedRequest;
+use super::response::{HttpResponse, refusal_response, rejection_response};
 use crate::boot_clock::boot_time;
-use crate::calls::{SendOrder, WholeAnswer};
+use crate::calls::{BufferedResponse,SendOrder};
 use crate::host::{Directive, Host, Mailbox};
 use crate::metrics;
 
@@ -20,15 +20,15 @@
 ///
 /// The request runs in a task of its own, which notices when this future is dropped: that
 /// is how the caller's leaving shows before an answer.
-pub async fn start(host: Rc<Host>, call: CallerCall) -> AnswerResponse {
+pub async fn start(host: Rc<Host>, received: ReceivedRequest) -> HttpResponse {
     let (reply, head) = oneshot::channel();
     let (number, mailbox) = host.open_mailbox();
-    let task = Drive {
+    let task = RequestTask {
         host,
-        call,
+        received,
         number,
         mailbox,
-        delivery: Delivery::Open(reply),
+        delivery: Delivery::Pending(reply),
         failure: None,
         last_id: None,
         times: EventTimes::default(),
@@ -36,36 +36,36 @@
     spawn_local(task.run());
     head.await.unwrap_or_else(|_| {
         // Only a broken invariant ends the task without an answer.
-        refusal(&Refusal::after_dispatch(Reason::BackendLost, Ran::Unknown))
+        refusal_response(&Refusal::after_dispatch(Reason::BackendLost, Ran::Unknown))
     })
 }
 
 /// A request under way.
 #[derive(Debug)]
-pub(super) struct Drive {
+pub(super) struct RequestTask {
     pub(super) host: Rc<Host>,
-    pub(super) call: CallerCall,
+    pub(super) received: ReceivedRequest,
     pub(super) number: RequestNumber,
     mailbox: Rc<Mailbox>,
     pub(super) delivery: Delivery,
     /// The failure that a backend server gave, passed on when nothing better comes.
-    pub(super) failure: Option<WholeAnswer>,
+    pub(super) failure: Option<BufferedResponse>,
     /// Id of the last event that was passed on.
     pub(super) last_id: Option<u64>,
     /// When its events came, for the log.
     pub(super) times: EventTimes,
 }
 
-impl Drive {
+impl RequestTask {
     async fn run(mut self) {
         let arrival = self.arrival();
         self.host.apply(Event::Arrived(arrival));
         loop {
             let directive = tokio::select! {
                 directive = self.mailbox.next() => directive,
-                () = self.delivery.caller_gone() => {
+                () = self.delivery.caller_disconnected() => {
                     self.host.apply(Event::CallerDisconnected(self.number));
-                    self.log("caller-gone", None, None, &"");
+                    self.log_outcome("caller-gone", None, None, &"");
                     break;
                 }
             };
@@ -76,14 +76,14 @@
                     self.host.apply(Event::AttemptEnded { number, outcome });
                     metrics::call(outcome.as_str());
                     let asked_by = Some(&order.asked_by);
-                    self.log(outcome.as_str(), Some(&order), asked_by, &order.grounds);
+                    self.log_outcome(outcome.as_str(), Some(&order), asked_by, &order.inputs);
                     if outcome.is_final() {
-                        self.count(outcome.as_str());
+                        self.count_outcome(outcome.as_str());
                         break;
                     }
                 }
                 other => {
-                    self.finish(other);
+                    self.send_own_response(other);
                     break;
                 }
             }
@@ -92,68 +92,68 @@
     }
 
     fn arrival(&self) -> Arrival {
-        let says = &self.call.says;
+        let header = &self.received.header;
         Arrival {
             number: self.number,
-            host: says.host.clone(),
-            path: self.call.uri.path().to_owned(),
-            credential: says.credential.clone(),
-            tokens: says.tokens,
-            expected_answer: says.expected_answer_tokens,
-            timeout: says.timeout,
-            fingerprint: self.call.fingerprint,
-            received_at: self.call.received_at.into_std(),
+            host: header.host.clone(),
+            path: self.received.uri.path().to_owned(),
+            credential: header.credential.clone(),
+            tokens: header.tokens,
+            expected_answer: header.expected_answer_tokens,
+            timeout: header.timeout,
+            fingerprint: self.received.fingerprint,
+            received_at: self.received.received_at.into_std(),
             boot_time: boot_time(),
         }
     }
 
-    fn finish(&mut self, directive: Directive) {
+    fn send_own_response(&mut self, directive: Directive) {
         let response = match directive {
-            Directive::Reject(reason, grounds) => {
-                self.count(reason.as_str());
-                self.log(reason.as_str(), None, None, &grounds);
-                rejection(reason)
+            Directive::Reject(reason, inputs) => {
+                self.count_outcome(reason.as_str());
+                self.log_outcome(reason.as_str(), None, None, &inputs);
+                rejection_response(reason)
             }
-            Directive::Refuse(refused, asked_by, grounds) => {
-                self.count(refused.reason.as_str());
-                self.log(refused.reason.as_str(), None, asked_by.as_ref(), &grounds);
-                refusal(&refused)
+            Directive::Refuse(refused, asked_by, inputs) => {
+                self.count_outcome(refused.reason.as_str());
+                self.log_outcome(refused.reason.as_str(), None, asked_by.as_ref(), &inputs);
+                refusal_response(&refused)
             }
-            Directive::PassOn | Directive::Send(_) => {
-                self.count("failed");
+            Directive::ForwardFailure | Directive::Send(_) => {
+                self.count_outcome("failed");
                 match self.failure.take() {
-                    Some(failure) => pass_on(failure),
-                    None => refusal(&Refusal::after_dispatch(Reason::BackendLost, Ran::Unknown)),
+                    Some(failure) => forward_response(failure),
+                    None => refusal_response(&Refusal::after_dispatch(Reason::BackendLost, Ran::Unknown,)),
                 }
             }
         };
-        self.delivery.finish(response);
+        self.delivery.send_response(response);
     }
 
-    fn count(&self, outcome: &'static str) {
-        metrics::request(outcome, self.call.received_at.elapsed());
+    fn count_outcome(&self, outcome: &'static str) {
+        metrics::request(outcome, self.received.received_at.elapsed());
         if let Some(first) = self.times.first {
-            metrics::stream(first - self.call.received_at, self.times.longest_pause);
+            metrics::stream(first - self.received.received_at, self.times.longest_pause);
         }
     }
 
-    fn log(
+    fn log_outcome(
         &self,
         outcome: &str,
         order: Option<&SendOrder>,
         asked_by: Option<&Requester>,
-        grounds: &dyn std::fmt::Display,
+        inputs: &dyn std::fmt::Display,
     ) {
         let backend = order.map_or("", |order| &order.backend);
         let account = asked_by.and_then(|it| it.account.as_deref());
         let rank = asked_by.map(|it| it.rank.to_string()).unwrap_or_default();
         let account = account.unwrap_or_default();
-        let ms = self.call.received_at.elapsed().as_millis();
-        let id = &self.call.says.id;
-        let first = self.times.first.map(|at| at - self.call.received_at);
+        let ms = self.received.received_at.elapsed().as_millis();
+        let id = &self.received.header.id;
+        let first = self.times.first.map(|at| at - self.received.received_at);
         let first_ms = first.unwrap_or_default().as_millis();
         let pause_ms = self.times.longest_pause.as_millis();
-        let tokens = self.call.says.tokens.unwrap_or_default();
-        log::info!(id, outcome, backend, account, rank, ms, first_ms, pause_ms, tokens:?, why:% = grounds; "request");
+        let tokens = self.received.header.tokens.unwrap_or_default();
+        log::info!(id, outcome, backend, account, rank, ms, first_ms, pause_ms, tokens:?, why:% = inputs; "request");
     }
 }
--- a/crates/jaypin_entry/src/callers/answer.rs
+++ b/crates/jaypin_entry/src/callers/response.rs
@@ -14,9 +14,9 @@
 use super::read_request::ReadError;
 
 /// Body of every answer; an error in it breaks the connection off.
-pub type AnswerBody = UnsyncBoxBody<Bytes, io::Error>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, io::Error>;
 /// Every answer.
-pub type AnswerResponse = Response<AnswerBody>;
+pub type HttpResponse = Response<ResponseBody>;
 
 /// What a caller reads when its request did not succeed.
 #[derive(Debug, Serialize)]
@@ -26,26 +26,26 @@
 }
 
 /// A body that is there as a whole.
-pub fn full(bytes: impl Into<Bytes>) -> AnswerBody {
+pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
 /// An answer that is nothing but a status.
-pub fn empty_answer(status: StatusCode) -> AnswerResponse {
-    let mut response = Response::new(full(""));
+pub fn empty_response(status: StatusCode) -> HttpResponse {
+    let mut response = Response::new(full_body(""));
     *response.status_mut() = status;
     response
 }
 
 /// An answer of bytes.
-pub fn bytes_answer(bytes: impl Into<Bytes>) -> AnswerResponse {
-    Response::new(full(bytes))
+pub fn bytes_response(bytes: impl Into<Bytes>) -> HttpResponse {
+    Response::new(full_body(bytes))
 }
 
 /// A refusal by the decisions.
-pub fn refusal(refusal: &Refusal) -> AnswerResponse {
+pub fn refusal_response(refusal: &Refusal) -> HttpResponse {
     let body = RefusalBody {
         reason: refusal.reason.as_str(),
         outcome: refusal.ran.as_str(),
@@ -61,7 +61,7 @@
 }
 
 /// The answer to a request that the configuration does not allow.
-pub fn rejection(reason: Unrouted) -> AnswerResponse {
+pub fn rejection_response(reason: Unrouted) -> HttpResponse {
     let status = match reason {
         Unrouted::NoRoute => StatusCode::NOT_FOUND,
         Unrouted::UnknownCredential => StatusCode::UNAUTHORIZED,
@@ -72,21 +72,21 @@
 }
 
 /// The answer to a request that could not be read.
-pub fn unreadable(error: &ReadError) -> AnswerResponse {
+pub fn read_error_response(error: &ReadError) -> HttpResponse {
     let outcome = Ran::NotRun.as_str();
     let reason = error.reason();
     json(error.status(), &RefusalBody { reason, outcome })
 }
 
 /// An answer after which the connection closes.
-pub fn closing(mut response: AnswerResponse) -> AnswerResponse {
+pub fn with_connection_close(mut response: HttpResponse) -> HttpResponse {
     let close = HeaderValue::from_static("close");
     response.headers_mut().insert(CONNECTION, close);
     response
 }
 
-fn json(status: StatusCode, value: &impl Serialize) -> AnswerResponse {
-    let mut response = Response::new(full(serde_json::to_vec(value).unwrap_or_default()));
+fn json(status: StatusCode, value: &impl Serialize) -> HttpResponse {
+    let mut response = Response::new(full_body(serde_json::to_vec(value).unwrap_or_default()));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
--- a/crates/jaypin_entry/src/calls/connections.rs
+++ b/crates/jaypin_entry/src/calls/connection_pool.rs
@@ -17,15 +17,15 @@
 ///
 /// Three network delays at the largest distance of today's fleets are 20 ms; a lost opening
 /// packet is sent again only after a second, and another backend server is found sooner.
-pub const DEFAULT_LIMITS: ConnectTimeouts = ConnectTimeouts {
+pub const DEFAULT_TIMEOUTS: ConnectTimeouts = ConnectTimeouts {
     connect: Duration::from_millis(300),
-    unacknowledged: SILENCE,
+    unacknowledged: ACK_TIMEOUT,
 };
 /// Time without an acknowledgement after which a connection is given up: bytes that were
 /// lost are sent again several times in it.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const ACK_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time for which an idle connection is used again when its backend server states none.
-const UNSTATED_IDLE: Duration = Duration::from_millis(500);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(500);
 /// Time by which a stated idle time is cut: the backend server counts from when it sent
 /// its answer, and the next request is on its way for some milliseconds.
 const IDLE_MARGIN: Duration = Duration::from_millis(400);
@@ -37,7 +37,7 @@
 pub struct Connection {
     sender: Sender,
     address: String,
-    expires: Option<Instant>,
+    expires_at: Option<Instant>,
     /// Whether it served a call before.
     pub is_reused: bool,
 }
@@ -48,7 +48,7 @@
     /// No byte of it left.
     NotSent,
     /// It may have arrived.
-    Broken,
+    Interrupted,
 }
 
 impl Connection {
@@ -63,7 +63,7 @@
         match self.sender.try_send_request(req).await {
             Ok(response) => Ok(response),
             Err(error) if error.message().is_some() => Err(CallError::NotSent),
-            Err(_) => Err(CallError::Broken),
+            Err(_) => Err(CallError::Interrupted),
         }
     }
 
@@ -73,18 +73,18 @@
     }
 
     /// Notes until when the other end keeps it open.
-    pub fn note_answer(&mut self, headers: &HeaderMap) {
+    pub fn update_expiry(&mut self, headers: &HeaderMap) {
         let closes = headers
             .get(CONNECTION)
             .and_then(|value| value.to_str().ok());
         let now = Instant::now();
         if closes.is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
-            self.expires = Some(now);
+            self.expires_at = Some(now);
             return;
         }
         let stated = headers.get(KEEP_ALIVE).and_then(stated_timeout);
-        let idle = stated.map_or(UNSTATED_IDLE, |it| it.saturating_sub(IDLE_MARGIN));
-        self.expires = Some(now + idle);
+        let idle = stated.map_or(DEFAULT_IDLE_TIME, |it| it.saturating_sub(IDLE_MARGIN));
+        self.expires_at = Some(now + idle);
     }
 }
 
@@ -96,29 +96,29 @@
 
 /// Idle connections, by address.
 #[derive(Debug, Default)]
-pub struct Connections {
+pub struct ConnectionPool {
     idle: RefCell<HashMap<String, Vec<Connection>>>,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// Takes an idle connection, or opens one.
     ///
     /// # Errors
     /// Says why none was made.
-    pub async fn take(&self, address: &str) -> Result<Connection, ConnectError> {
+    pub async fn acquire(&self, address: &str) -> Result<Connection, ConnectError> {
         if let Some(connection) = self.take_idle(address) {
             return Ok(connection);
         }
-        connect(address, DEFAULT_LIMITS).await
+        connect(address, DEFAULT_TIMEOUTS).await
     }
 
     fn take_idle(&self, address: &str) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let of_address = idle.get_mut(address)?;
+        let same_address = idle.get_mut(address)?;
         let now = Instant::now();
-        while let Some(connection) = of_address.pop() {
-            let is_fresh = connection.expires.is_none_or(|at| now < at);
-            if is_fresh && connection.sender.is_ready() {
+        while let Some(connection) = same_address.pop() {
+            let is_unexpired = connection.expires_at.is_none_or(|at| now < at);
+            if is_unexpired && connection.sender.is_ready() {
                 return Some(connection);
             }
         }
@@ -126,9 +126,9 @@
     }
 
     /// Keeps a connection whose call ended with a whole answer.
-    pub fn give_back(&self, mut connection: Connection) {
-        let is_fresh = connection.expires.is_none_or(|at| Instant::now() < at);
-        if is_fresh && !connection.sender.is_closed() {
+    pub fn release(&self, mut connection: Connection) {
+        let is_unexpired = connection.expires_at.is_none_or(|at| Instant::now() < at);
+        if is_unexpired && !connection.sender.is_closed() {
             connection.is_reused = true;
             let mut idle = self.idle.borrow_mut();
             let address = connection.address.clone();
@@ -139,9 +139,9 @@
     /// Closes what has been idle for too long.
     pub fn close_expired(&self) {
         let now = Instant::now();
-        self.idle.borrow_mut().retain(|_, of_address| {
-            of_address.retain(|it| it.expires.is_none_or(|at| now < at) && !it.sender.is_closed());
-            !of_address.is_empty()
+        self.idle.borrow_mut().retain(|_, same_address| {
+            same_address.retain(|it| it.expires_at.is_none_or(|at| now < at) && !it.sender.is_closed());
+            !same_address.is_empty()
         });
     }
 }
@@ -160,7 +160,7 @@
     Ok(Connection {
         sender,
         address: address.to_owned(),
-        expires: None,
+        expires_at: None,
         is_reused: false,
     })
 }
--- a/crates/jaypin_entry/src/calls/mod.rs
+++ b/crates/jaypin_entry/src/calls/mod.rs
@@ -1,12 +1,13 @@
 //! Calls to backend servers.
 
-mod connections;
+mod buffered_response;
+mod connection_pool;
 mod event_id;
-mod whole_answer;
 
-pub use connections::{CallError, Connection, Connections, DEFAULT_LIMITS, connect};
+pub use buffered_response::{BufferedResponse, read_response};
+
+pub use connection_pool::{CallError, Connection, ConnectionPool, DEFAULT_TIMEOUTS, connect};
 pub use event_id::event_id;
-pub use whole_answer::{WholeAnswer, read_whole};
 
 use std::time::Duration;
 
@@ -26,11 +27,11 @@
     /// Whether it may run again, and whether its answer is a stream.
     pub repeat: Repeat,
     /// Time after which a call without a first event is given up.
-    pub silence: Option<Duration>,
+    pub first_event_timeout: Option<Duration>,
     /// Pause between two events after which a stream is given up.
-    pub longest_pause: Option<Duration>,
+    pub event_gap_timeout: Option<Duration>,
     /// When the whole answer is due.
     pub deadline: Instant,
     /// What the choice rests on.
-    pub grounds: DecisionInputs,
+    pub inputs: DecisionInputs,
 }
--- a/crates/jaypin_entry/src/host.rs
+++ b/crates/jaypin_entry/src/host.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::{Instant, sleep_until};
 
-use crate::calls::{Connections, SendOrder};
+use crate::calls::{ConnectionPool, SendOrder};
 use crate::peers::PeerSocket;
 use crate::ports::{HostSettings, Object, Platform};
 
@@ -27,7 +27,7 @@
     /// Answer with a refusal.
     Refuse(Refusal, Option<Requester>, DecisionInputs),
     /// Answer with the failure that a backend server gave.
-    PassOn,
+    ForwardFailure,
 }
 
 /// Where the reducer's word for one request waits for its task.
@@ -62,7 +62,7 @@
     /// Settings at the start.
     pub settings: HostSettings,
     /// Connections to backend servers.
-    pub connections: Connections,
+    pub connections: ConnectionPool,
     /// Reports to and from peers.
     pub peers: PeerSocket,
     router: RefCell<Router>,
@@ -71,7 +71,7 @@
     mailboxes: RefCell<HashMap<RequestNumber, Rc<Mailbox>>>,
     next_number: Cell<RequestNumber>,
     planned_tick: Cell<Option<Instant>>,
-    tick_moved: Notify,
+    tick_rescheduled: Notify,
     rollout_writes: UnboundedSender<RolloutWrite>,
 }
 
@@ -87,14 +87,14 @@
         Self {
             platform,
             settings,
-            connections: Connections::default(),
+            connections: ConnectionPool::default(),
             peers,
             router: RefCell::new(router),
             configuration: RefCell::default(),
             mailboxes: RefCell::default(),
             next_number: Cell::new(1),
             planned_tick: Cell::new(None),
-            tick_moved: Notify::new(),
+            tick_rescheduled: Notify::new(),
             rollout_writes,
         }
     }
@@ -104,7 +104,7 @@
         let now = Instant::now().into_std();
         let effects = self.router.borrow_mut().apply(now, event);
         for effect in effects {
-            self.run(effect);
+            self.run_effect(effect);
         }
         let next_tick = self.next_tick();
         if self
@@ -113,7 +113,7 @@
             .is_none_or(|planned| next_tick < planned)
         {
             self.planned_tick.set(Some(next_tick));
-            self.tick_moved.notify_one();
+            self.tick_rescheduled.notify_one();
         }
     }
 
@@ -124,7 +124,7 @@
             self.planned_tick.set(Some(at));
             tokio::select! {
                 () = sleep_until(at) => break,
-                () = self.tick_moved.notified() => {}
+                () = self.tick_rescheduled.notified() => {}
             }
         }
         self.planned_tick.set(None);
@@ -136,7 +136,7 @@
     }
 
     /// Keeps the configuration in use as the store has it.
-    pub fn keep_configuration(&self, object: Object) {
+    pub fn set_configuration(&self, object: Object) {
         *self.configuration.borrow_mut() = Some(Rc::new(object));
     }
 
@@ -146,12 +146,12 @@
     }
 
     /// Looks at the decision state.
-    pub fn look<T>(&self, look: impl FnOnce(&Router) -> T) -> T {
-        look(&self.router.borrow())
+    pub fn read<T>(&self, read: impl FnOnce(&Router) -> T) -> T {
+        read(&self.router.borrow())
     }
 
     /// Whether a request that was chosen for a backend server may still be sent there.
-    pub fn still_takes(&self, backend: &str) -> bool {
+    pub fn may_send_to(&self, backend: &str) -> bool {
         let now = Instant::now().into_std();
         self.router.borrow().still_accepts(backend, now)
     }
@@ -170,7 +170,7 @@
         self.mailboxes.borrow_mut().remove(&number);
     }
 
-    fn run(&self, effect: Effect) {
+    fn run_effect(&self, effect: Effect) {
         match effect {
             Effect::Send {
                 number,
@@ -178,53 +178,61 @@
                 address,
                 asked_by,
                 repeat,
-                first_event_timeout: silence,
-                stall_timeout: longest_pause,
+                first_event_timeout:
+                silence,
+                stall_timeout:
+                longest_pause,
                 deadline,
-                inputs: grounds,
+                inputs:
+                grounds,
             } => {
                 let order = SendOrder {
                     backend,
                     address,
                     asked_by,
                     repeat,
+                    first_event_timeout:
                     silence,
+                    event_gap_timeout:
                     longest_pause,
                     deadline: deadline.into(),
+                    inputs:
                     grounds,
                 };
-                self.direct(number, Directive::Send(order));
+                self.send_directive(number, Directive::Send(order));
             }
             Effect::Reject {
                 number,
                 reason,
-                inputs: grounds,
-            } => self.direct(number, Directive::Reject(reason, grounds)),
+                inputs:
+                grounds,
+            } => self.send_directive(number, Directive::Reject(reason, grounds)),
             Effect::Refuse {
                 number,
                 asked_by,
                 refusal,
-                inputs: grounds,
-            } => self.direct(number, Directive::Refuse(refusal, asked_by, grounds)),
-            Effect::ForwardFailure(number) => self.direct(number, Directive::PassOn),
-            Effect::WriteRollout(write) => self.write_rollout(write),
-            Effect::SendReport { to, report } => self.tell(&to, &report),
+                inputs:
+                grounds,
+            } => self.send_directive(number, Directive::Refuse(refusal, asked_by, grounds)),
+            Effect::ForwardFailure(number) => self.send_directive(number, Directive::ForwardFailure),
+            Effect::WriteRollout(write) => self.queue_rollout_write(write),
+            Effect::SendReport { to, report } => self.send_report(&to, &report),
         }
     }
 
-    fn direct(&self, number: RequestNumber, directive: Directive) {
+    fn send_directive(&self, number: RequestNumber, directive: Directive) {
         if let Some(mailbox) = self.mailboxes.borrow().get(&number) {
             mailbox.put(directive);
         }
     }
 
-    fn write_rollout(&self, write: RolloutWrite) {
+    fn queue_rollout_write(&self, write: RolloutWrite) {
         if self.rollout_writes.send(write).is_err() {
             log::error!("the task that writes rollouts has ended");
         }
     }
 
-    fn tell(&self, to: &[SocketAddr], report: &jaypin_router::Report) {
-        self.peers.tell(to, report);
+    fn send_report(&self, to: &[SocketAddr], report: &jaypin_router::Report) {
+        self.peers.send(to, report);
     }
 }
--- a/crates/jaypin_entry/src/lib.rs
+++ b/crates/jaypin_entry/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use logs::start as start_logs;
 pub use peers::{
-    HandedConfiguration, WireError, decode_configuration, decode_entries, decode_report,
+    ConfigurationSnapshot, WireError, decode_configuration, decode_entries, decode_report,
     encode_configuration, encode_entries, encode_report,
 };
 pub use ports::{
--- a/crates/jaypin_entry/src/logs/line.rs
+++ b/crates/jaypin_entry/src/logs/line.rs
@@ -8,11 +8,11 @@
 use serde_json::Map;
 
 /// End of the names of fields with a time. Of these a 0 says that there is none.
-const TIME_FIELD: &str = "_ms";
+const DURATION_SUFFIX: &str = "_ms";
 
 /// Writes `time`, `level`, `msg`, and the record's own fields.
 pub fn write(buf: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
-    let mut fields = Fields(Map::new());
+    let mut fields = JsonFields(Map::new());
     let time = buf.timestamp_millis().to_string();
     fields.0.insert("time".to_owned(), time.into());
     let level = record.level().as_str();
@@ -25,9 +25,9 @@
     writeln!(buf)
 }
 
-struct Fields(Map<String, serde_json::Value>);
+struct JsonFields(Map<String, serde_json::Value>);
 
-impl<'kvs> VisitSource<'kvs> for Fields {
+impl<'kvs> VisitSource<'kvs> for JsonFields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let value = match value.to_u64() {
             Some(number) => number.into(),
@@ -43,6 +43,6 @@
 /// Whether a field says nothing. A refusal has neither backend server nor times of events;
 /// without these a log has a tenth fewer bytes when most requests are refused.
 fn is_empty(name: &str, value: &serde_json::Value) -> bool {
-    let is_time = name.ends_with(TIME_FIELD);
+    let is_time = name.ends_with(DURATION_SUFFIX);
     value.as_str().is_some_and(str::is_empty) || is_time && value.as_u64() == Some(0)
 }
--- a/crates/jaypin_entry/src/logs/queue.rs
+++ b/crates/jaypin_entry/src/logs/queue.rs
@@ -7,13 +7,13 @@
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 
 /// Lines that may wait to be written: some seconds of the heaviest load.
-const MOST_LINES: usize = 512;
+const MAX_QUEUED_LINES: usize = 512;
 /// Places of these that only warnings and errors may take: ordinary lines are dropped
 /// first.
-const FOR_WARNINGS: usize = 128;
+const RESERVED_FOR_WARNINGS: usize = 128;
 /// How the lines of warnings and errors begin: fields are in order of their names, so the
 /// level is looked for.
-const WARNINGS: [&[u8]; 2] = [b"\"level\":\"WARN\"", b"\"level\":\"ERROR\""];
+const WARNING_LEVELS: [&[u8]; 2] = [b"\"level\":\"WARN\"", b"\"level\":\"ERROR\""];
 
 /// Takes lines without waiting.
 ///
@@ -35,7 +35,7 @@
 
 fn is_warning(line: &[u8]) -> bool {
     let has = |part: &[u8]| line.windows(part.len()).any(|it| it == part);
-    WARNINGS.iter().any(|part| has(part))
+    WARNING_LEVELS.iter().any(|part| has(part))
 }
 
 impl LogQueue {
@@ -44,7 +44,7 @@
     /// # Errors
     /// Gives what starting it gave.
     pub fn start(out: impl Write + Send + 'static) -> io::Result<Self> {
-        let (lines, queue) = bounded(MOST_LINES);
+        let (lines, queue) = bounded(MAX_QUEUED_LINES);
         let dropped = Arc::new(Dropped::default());
         let counted = dropped.clone();
         std::thread::Builder::new()
@@ -57,7 +57,7 @@
 impl Write for LogQueue {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         let is_ordinary = !is_warning(buf);
-        let has_room = self.lines.len() < MOST_LINES - FOR_WARNINGS;
+        let has_room = self.lines.len() < MAX_QUEUED_LINES - RESERVED_FOR_WARNINGS;
         let is_dropped = is_ordinary && !has_room
             || matches!(
                 self.lines.try_send(buf.to_vec()),
--- a/crates/jaypin_entry/src/metrics.rs
+++ b/crates/jaypin_entry/src/metrics.rs
@@ -14,7 +14,7 @@
 
 /// Bounds of times to a first event and to a whole answer, in seconds: around the aims of
 /// 0.1, 0.5 and 1 second, and up to the longest deadline.
-const TIME_BOUNDS: [f64; 12] = [
+const TIME_BUCKETS_S: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.75, 1.0, 2.0, 5.0, 15.0,
 ];
 
@@ -56,7 +56,7 @@
     let meter = provider.meter("jaypin");
     let histogram = |name: &'static str| {
         let built = meter.f64_histogram(name).with_unit("s");
-        built.with_boundaries(TIME_BOUNDS.to_vec()).build()
+        built.with_boundaries(TIME_BUCKETS_S.to_vec()).build()
     };
     let instruments = Instruments {
         requests: meter.u64_counter("jaypin.requests").build(),
--- a/crates/jaypin_entry/src/peers/heard.rs
+++ b/crates/jaypin_entry/src/peers/live_peers.rs
@@ -12,21 +12,22 @@
 /// Quotas, loads and proofs rest on what peers tell, so the log says when each was lost and
 /// when it was back. Looked at once a second: a peer counts as lost after 1.1 s anyway.
 #[derive(Debug, Default)]
-pub struct HeardPeers {
-    heard: BTreeSet<HostId>,
+pub struct LivePeers {
+    live: BTreeSet<HostId>,
 }
 
-impl HeardPeers {
+impl LivePeers {
     /// Writes down what changed since the last look.
-    pub fn note(&mut self, host: &Host) {
+    pub fn log_changes(&mut self, host: &Host) {
         let now = Instant::now().into_std();
-        let heard: BTreeSet<HostId> = host.look(|router| router.live_peers(now).cloned().collect());
-        for peer in heard.difference(&self.heard) {
+        let live: BTreeSet<HostId> =
+            host.read(|router| router.live_peers(now).cloned().collect());
+        for peer in live.difference(&self.live) {
             log::info!(peer:%; "peer heard");
         }
-        for peer in self.heard.difference(&heard) {
+        for peer in self.live.difference(&live) {
             log::warn!(peer:%; "peer lost");
         }
-        self.heard = heard;
+        self.live = live;
     }
 }
--- a/crates/jaypin_entry/src/peers/mod.rs
+++ b/crates/jaypin_entry/src/peers/mod.rs
@@ -3,14 +3,14 @@
 //! Reports are datagrams, since one that is late is worth nothing: the next one says more. A
 //! connection would hold reports back behind a lost one.
 
-mod heard;
+mod live_peers;
 mod snapshot;
 mod wire;
 
-pub use heard::HeardPeers;
-pub use snapshot::{ask_configuration, ask_entries, serve_snapshots};
+pub use live_peers::LivePeers;
+pub use snapshot::{fetch_configuration, fetch_entries, serve_snapshots};
 pub use wire::{
-    HandedConfiguration, WireError, decode_configuration, decode_entries, decode_report,
+    ConfigurationSnapshot, WireError, decode_configuration, decode_entries, decode_report,
     encode_configuration, encode_entries, encode_report,
 };
 
@@ -24,7 +24,7 @@
 use crate::host::Host;
 
 /// Largest datagram: the load of 600 backend servers takes 10 KB.
-const MAX_DATAGRAM: usize = 60_000;
+const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// Where reports come and go.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     }
 
     /// Tells a report; what can't be sent now is not sent.
-    pub fn tell(&self, to: &[SocketAddr], report: &Report) {
+    pub fn send(&self, to: &[SocketAddr], report: &Report) {
         let bytes = match encode_report(report) {
             Ok(bytes) => bytes,
             Err(error) => {
@@ -60,8 +60,8 @@
 }
 
 /// Takes peers' reports until the task is dropped.
-pub async fn hear_peers(host: Rc<Host>) {
-    let mut buf = vec![0; MAX_DATAGRAM];
+pub async fn receive_reports(host: Rc<Host>) {
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match host.peers.socket.recv_from(&mut buf).await {
             Ok(received) => received,
--- a/crates/jaypin_entry/src/peers/wire/handed.rs
+++ b/crates/jaypin_entry/src/peers/wire/configuration.rs
@@ -9,11 +9,11 @@
 /// Name, point, and what the author wrote.
 type WireObject = (String, WirePoint, serde_json::Value);
 /// Version, milliseconds since it was the newest, and the object if it was asked for.
-type WireHanded = (u64, Option<u64>, Option<WireObject>);
+type WireSnapshot = (u64, Option<u64>, Option<WireObject>);
 
 /// A configuration as hosts hand it over.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HandedConfiguration {
+pub struct ConfigurationSnapshot {
     /// Its version.
     pub version: u64,
     /// Time since it was the newest for sure, where it ever was.
@@ -26,12 +26,12 @@
 ///
 /// # Errors
 /// Gives what the library gives.
-pub fn encode_configuration(handed: &HandedConfiguration) -> Result<Vec<u8>, WireError> {
-    let object = handed.object.as_ref();
+pub fn encode_configuration(snapshot: &ConfigurationSnapshot) -> Result<Vec<u8>, WireError> {
+    let object = snapshot.object.as_ref();
     let object = object.map(|it| (it.name.clone(), wire_point(it.point), it.content.clone()));
     // Rounded up: a proof must not grow younger on its way.
-    let age = handed.proof_age.map(|age| milliseconds(age) + 1);
-    let wire: WireHanded = (handed.version, age, object);
+    let age = snapshot.proof_age.map(|age| milliseconds(age) + 1);
+    let wire: WireSnapshot = (snapshot.version, age, object);
     encode(&wire)
 }
 
@@ -39,15 +39,15 @@
 ///
 /// # Errors
 /// Says why the bytes are none.
-pub fn decode_configuration(bytes: &[u8]) -> Result<HandedConfiguration, WireError> {
-    let (version, age, object): WireHanded = decode(bytes)?;
+pub fn decode_configuration(bytes: &[u8]) -> Result<ConfigurationSnapshot, WireError> {
+    let (version, age, object): WireSnapshot = decode(bytes)?;
     let object = object.map(|(name, point, content)| Object {
         name,
         point: read_point(point),
         content,
         status: serde_json::Value::Null,
     });
-    Ok(HandedConfiguration {
+    Ok(ConfigurationSnapshot {
         version,
         proof_age: age.map(Duration::from_millis),
         object,
--- a/crates/jaypin_entry/src/peers/wire/mod.rs
+++ b/crates/jaypin_entry/src/peers/wire/mod.rs
@@ -1,19 +1,21 @@
 //! Reports as bytes: CBOR arrays, so that no field name travels.
 
+mod configuration;
+
 mod entries;
-mod handed;
 mod rollout;
 
+pub use configuration::{ConfigurationSnapshot, decode_configuration, encode_configuration};
+
 pub use entries::{decode_entries, encode_entries};
-pub use handed::{HandedConfiguration, decode_configuration, encode_configuration};
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use jaypin_core::{AccountId, FailureDomain, HostId};
 use jaypin_router::{
-    ArrivalCount, BackendLoad, BackendSamples, BackendSignals, Rank, Report, SignalReport,
-    StoreView, Strike, WholeReport,
+    ArrivalCount, BackendLoad, BackendSamples, BackendSignals, Rank, Report, SignalReport, StoreView,
+    Strike, WholeReport,
 };
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -64,7 +66,7 @@
 type WireSignals = (u32, u64, Option<f64>, bool, u64);
 
 /// Service's key, rank of account and of route, requests.
-type WireAsked = (u32, u8, u8, u32);
+type WireArrivals = (u32, u8, u8, u32);
 /// Name, reports' address, callers' address, failure domain, cell.
 type WireSender = (String, String, String, String, u32);
 /// Version, proved at and sent at in milliseconds, may watch, watches, digest, era.
@@ -92,7 +94,7 @@
     Vec<(String, f64)>,
     Vec<(u64, u32)>,
     Option<Vec<String>>,
-    Vec<WireAsked>,
+    Vec<WireArrivals>,
     Vec<WireRollout>,
 );
 
@@ -173,7 +175,7 @@
             whole.low_levels.iter().map(wire_units).collect(),
             strikes.map(|it| (it.fingerprint, it.crash_count)).collect(),
             callers.map(|it| it.iter().map(ToString::to_string).collect()),
-            whole.asked.iter().map(wire_asked).collect(),
+            whole.asked.iter().map(wire_arrivals).collect(),
             whole.rollouts.iter().map(wire_rollout).collect(),
         )
     }
@@ -195,10 +197,10 @@
             changes,
             whole,
         ) = wire;
-        let mut learned = samples.iter().flat_map(|it| it.1);
-        let are_units_sound = usage.iter().all(|(_, units)| is_sound(*units));
+        let mut sums = samples.iter().flat_map(|it| it.1);
+        let are_units_valid = usage.iter().all(|(_, units)| is_valid(*units));
         let mut limits = signals.iter().filter_map(|it| it.2);
-        if !are_units_sound || !learned.all(is_sound) || !limits.all(is_sound) {
+        if !are_units_valid || !sums.all(is_valid) || !limits.all(is_valid) {
             return Err(WireError::Number);
         }
         let usage = usage.into_iter();
@@ -207,9 +209,9 @@
             run,
             sequence,
             is_ready,
-            loads: loads.into_iter().map(load).collect(),
-            samples: samples.into_iter().map(sample).collect(),
-            usage: usage.map(units).collect(),
+            loads: loads.into_iter().map(read_load).collect(),
+            samples: samples.into_iter().map(read_samples).collect(),
+            usage: usage.map(read_units).collect(),
             signals: signals.into_iter().map(read_signals).collect(),
             changes: changes.into_iter().map(read_change).collect(),
             whole: whole.map(WholeReport::try_from).transpose()?,
@@ -225,8 +227,8 @@
         let (host, address, callers, failure_domain, cell) = sender;
         let (version, proved_at, sent_at, may_watch, is_watching, digest, era) = view;
         // A level below 0 is a debt.
-        let are_levels_sound = low_levels.iter().all(|(_, level)| level.is_finite());
-        if !are_levels_sound {
+        let are_levels_valid = low_levels.iter().all(|(_, level)| level.is_finite());
+        if !are_levels_valid {
             return Err(WireError::Number);
         }
         let strikes = strikes.into_iter();
@@ -246,8 +248,8 @@
                 digest,
                 era,
             },
-            low_levels: low_levels.into_iter().map(units).collect(),
-            asked: asked.into_iter().map(read_asked).collect(),
+            low_levels: low_levels.into_iter().map(read_units).collect(),
+            asked: asked.into_iter().map(read_arrivals).collect(),
             rollouts: rollouts
                 .into_iter()
                 .map(read_rollout)
@@ -255,7 +257,8 @@
             crash_counts: strikes
                 .map(|(fingerprint, strikes)| Strike {
                     fingerprint,
-                    crash_count: strikes,
+                    crash_count:
+                    strikes,
                 })
                 .collect(),
             cell_callers: cell_callers.transpose()?,
@@ -263,7 +266,7 @@
     }
 }
 
-fn is_sound(number: f64) -> bool {
+fn is_valid(number: f64) -> bool {
     number.is_finite() && number >= 0.0
 }
 
@@ -275,16 +278,16 @@
     (account.to_string(), *units)
 }
 
-fn units((account, units): (String, f64)) -> (AccountId, f64) {
+fn read_units((account, units): (String, f64)) -> (AccountId, f64) {
     (AccountId::from(account), units)
 }
 
-fn wire_asked(asked: &ArrivalCount) -> WireAsked {
+fn wire_arrivals(asked: &ArrivalCount) -> WireArrivals {
     let rank = asked.rank;
     (asked.service, rank.account, rank.route, asked.requests)
 }
 
-fn read_asked((service, account, route, requests): WireAsked) -> ArrivalCount {
+fn read_arrivals((service, account, route, requests): WireArrivals) -> ArrivalCount {
     let rank = Rank { account, route };
     ArrivalCount {
         service,
@@ -298,23 +301,17 @@
 }
 
 fn wire_samples(it: &BackendSamples) -> WireSamples {
-    let sums = [
-        it.tokens,
-        it.seconds,
-        it.hold_seconds,
-        it.events,
-        it.event_seconds,
-    ];
+    let sums = [it.tokens, it.seconds, it.hold_seconds, it.events, it.event_seconds,];
     (it.key, sums, it.good, it.bad)
 }
 
-fn wire_signals(told: &SignalReport) -> WireSignals {
+fn wire_signals(report: &SignalReport) -> WireSignals {
     let BackendSignals {
         rate_limit,
         is_leaving,
-    } = told.signals;
-    let age = milliseconds(told.age);
-    (told.key, told.started, rate_limit, is_leaving, age)
+    } = report.signals;
+    let age = milliseconds(report.age);
+    (report.key, report.started, rate_limit, is_leaving, age)
 }
 
 fn read_signals((key, started, rate_limit, is_leaving, age): WireSignals) -> SignalReport {
@@ -333,7 +330,7 @@
     text.parse().context(AddressSnafu)
 }
 
-fn load((key, running, unread_tokens): WireLoad) -> BackendLoad {
+fn read_load((key, running, unread_tokens): WireLoad) -> BackendLoad {
     BackendLoad {
         key,
         running,
@@ -341,13 +338,14 @@
     }
 }
 
-fn sample((key, sums, good, bad): WireSamples) -> BackendSamples {
+fn read_samples((key, sums, good, bad): WireSamples) -> BackendSamples {
     let [tokens, seconds, held, events, event_seconds] = sums;
     BackendSamples {
         key,
         tokens,
         seconds,
-        hold_seconds: held,
+        hold_seconds:
+        held,
         events,
         event_seconds,
         good,
--- a/crates/jaypin_entry/src/ports.rs
+++ b/crates/jaypin_entry/src/ports.rs
@@ -14,16 +14,17 @@
 
 /// What could not be decoded, in words for logs and callers.
 #[derive(Debug, Snafu)]
-#[snafu(display("{what}"))]
+#[snafu(display("{message}"))]
 pub struct DecodeError {
     /// What is wrong.
-    pub what: String,
+    pub message: String,
 }
 
 impl DecodeError {
     /// Says what is wrong.
-    pub fn new(what: impl Into<String>) -> Self {
-        Self { what: what.into() }
+    pub fn new(message: impl Into<String>) -> Self {
+        Self {
+            message: message.into(), }
     }
 }
 
--- a/crates/jaypin_entry/src/store/backends.rs
+++ b/crates/jaypin_entry/src/store/backends.rs
@@ -10,16 +10,16 @@
 use super::client::{StoreClient, StoreError};
 use super::{Retries, WATCH_PAUSE, follows_store, now, wait_until};
 use crate::host::Host;
-use crate::peers::ask_entries;
+use crate::peers::fetch_entries;
 use crate::ports::{Collection, Freshness, Object, ObjectChange};
 
 /// How long one watch waits. Answers come at once when something changes; a connection
 /// that went silent is noticed after this time and a call's.
-const WATCH: Duration = Duration::from_secs(4);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Time within which entries that a peer handed over should have made this host know what
 /// hosts that watch know; else the store is asked.
-const HANDED_FOR: Duration = Duration::from_secs(3);
+const SNAPSHOT_GRACE: Duration = Duration::from_secs(3);
 
 /// Follows the backend servers until the task is dropped: by watches if this host is to
 /// watch, else by what its peers tell, and by asking for all when that differs for long.
@@ -27,31 +27,31 @@
     let mut client = StoreClient::new(&host);
     let mut retries = Retries::default();
     let mut freshness = Freshness::AllowStale;
-    let mut handed_at: Option<Instant> = None;
+    let mut fetched_at: Option<Instant> = None;
     loop {
-        if retries.has_ended_well() {
+        if retries.has_succeeded() {
             wait_until(&host, |router| {
                 follows_store(router) || router.has_diverging_entries(now())
             })
             .await;
-            let is_handed = handed_at.is_some_and(|at| at.elapsed() < HANDED_FOR);
-            if !host.look(follows_store) && !is_handed && take_from_peer(&host).await {
-                handed_at = Some(Instant::now());
+            let is_recently_fetched = fetched_at.is_some_and(|at| at.elapsed() < SNAPSHOT_GRACE);
+            if !host.read(follows_store) && !is_recently_fetched && fetch_from_peer(&host).await {
+                fetched_at = Some(Instant::now());
                 continue;
             }
         }
         match follow(&host, &mut client, freshness).await {
             Ok(()) => {
-                retries.ended_well();
+                retries.record_success();
                 freshness = Freshness::Newest;
             }
-            Err(error) => retries.pause_after(&host, "backend servers", &error).await,
+            Err(error) => retries.back_off(&host, "backend servers", &error).await,
         }
     }
 }
 
-async fn take_from_peer(host: &Host) -> bool {
-    let Some(entries) = ask_entries(host).await else {
+async fn fetch_from_peer(host: &Host) -> bool {
+    let Some(entries) = fetch_entries(host).await else {
         return false;
     };
     log::info!(count = entries.len(); "entries handed over");
@@ -66,7 +66,7 @@
     client: &mut StoreClient<'_>,
     freshness: Freshness,
 ) -> Result<(), StoreError> {
-    let freshness = if host.look(follows_store) {
+    let freshness = if host.read(follows_store) {
         Freshness::Newest
     } else {
         freshness
@@ -78,17 +78,17 @@
         .collect();
     log::info!(count = entries.len(), point:?; "backend servers listed");
     host.apply(Event::BackendsListed { entries, point });
-    while host.look(follows_store) {
-        let Some(news) = client.watch(Collection::Backends, point, WATCH).await? else {
+    while host.read(follows_store) {
+        let Some(updates) = client.watch(Collection::Backends, point, WATCH_TIMEOUT).await? else {
             return Ok(());
         };
-        for change in &news.changes {
-            let change = entry_change(host, change, news.point);
+        for change in &updates.changes {
+            let change = entry_change(host, change, updates.point);
             log::info!(change:?; "backend server");
             host.apply(Event::BackendChanged(change));
         }
-        point = news.point;
-        if !news.changes.is_empty() {
+        point = updates.point;
+        if !updates.changes.is_empty() {
             sleep(WATCH_PAUSE).await;
         }
     }
--- a/crates/jaypin_entry/src/store/client.rs
+++ b/crates/jaypin_entry/src/store/client.rs
@@ -11,7 +11,7 @@
 use snafu::Snafu;
 use tokio::time::timeout;
 
-use crate::calls::{Connection, DEFAULT_LIMITS, WholeAnswer, connect, read_whole};
+use crate::calls::{BufferedResponse,Connection, DEFAULT_TIMEOUTS, connect, read_response};
 use crate::host::Host;
 use crate::metrics;
 use crate::ports::{Collection, DecodeError, Freshness, Object, ObjectChanges, ObjectPage};
@@ -27,9 +27,9 @@
 pub enum StoreError {
     /// It could not be reached, or broke off.
     #[snafu(display("no connection"))]
-    Unreached,
+    ConnectionFailed,
     /// It did not answer in time.
-    #[snafu(display("no answer in time"))]
+    #[snafu(display("no response in time"))]
     TimedOut,
     /// It answered with another status than expected.
     #[snafu(display("status {status}"))]
@@ -39,7 +39,7 @@
     },
     /// Its answer states an earlier era than one before, or none.
     #[snafu(display("era {stated:?} after {known}"))]
-    FormerEra {
+    OutdatedEra {
         /// The era.
         stated: Option<StoreEra>,
         /// The newest one that the store stated.
@@ -57,10 +57,10 @@
     /// The error in one word.
     fn as_str(&self) -> &'static str {
         match self {
-            Self::Unreached => "unreached",
+            Self::ConnectionFailed => "unreached",
             Self::TimedOut => "timed-out",
             Self::Status { .. } => "status",
-            Self::FormerEra { .. } => "former-era",
+            Self::OutdatedEra { .. } => "former-era",
             Self::Decode { .. } => "unreadable",
         }
     }
@@ -68,7 +68,7 @@
     /// Whether the store does not serve this host; other statuses are answers.
     fn is_outage(&self) -> bool {
         match self {
-            Self::Unreached | Self::TimedOut | Self::FormerEra { .. } => true,
+            Self::ConnectionFailed | Self::TimedOut | Self::OutdatedEra { .. } => true,
             Self::Status { status } => {
                 status.is_server_error() || *status == StatusCode::TOO_MANY_REQUESTS
             }
@@ -85,7 +85,7 @@
 
 /// An answer of the store.
 #[derive(Debug)]
-pub struct StoreAnswer {
+pub struct StoreResponse {
     /// The history that it speaks of.
     pub era: StoreEra,
     /// Its body.
@@ -99,7 +99,7 @@
     host: &'a Host,
     connection: Option<Connection>,
     /// Whether the last call failed.
-    is_lost: bool,
+    is_unavailable: bool,
 }
 
 impl<'a> StoreClient<'a> {
@@ -108,7 +108,7 @@
         Self {
             host,
             connection: None,
-            is_lost: false,
+            is_unavailable: false,
         }
     }
 
@@ -126,7 +126,7 @@
                 .host
                 .platform
                 .list_path(kind, after.as_deref(), freshness);
-            let StoreAnswer { era, body } = self.get(&path, CALL_TIMEOUT).await?;
+            let StoreResponse { era, body } = self.get(&path, CALL_TIMEOUT).await?;
             let page: ObjectPage = self.host.platform.parse_page(&body, era)?;
             // Pages of two histories make no listing.
             if first_point.is_some_and(|it| it.era != era) {
@@ -154,9 +154,9 @@
         let path = self.host.platform.watch_path(kind, since.revision, wait);
         match self.get(&path, wait + CALL_TIMEOUT).await {
             // The new history may have reached the revision, and lacks what lies between.
-            Ok(answer) if answer.era != since.era => Ok(None),
-            Ok(answer) => {
-                let changes = self.host.platform.parse_changes(&answer.body, answer.era)?;
+            Ok(response) if response.era != since.era => Ok(None),
+            Ok(response) => {
+                let changes = self.host.platform.parse_changes(&response.body, response.era)?;
                 Ok(Some(changes))
             }
             Err(StoreError::Status { status }) if status == StatusCode::GONE => Ok(None),
@@ -170,12 +170,12 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<StoreAnswer, StoreError> {
+    ) -> Result<StoreResponse, StoreError> {
         self.call(method, path, body, CALL_TIMEOUT).await
     }
 
     /// Reads from a path.
-    pub async fn get(&mut self, path: &str, limit: Duration) -> Result<StoreAnswer, StoreError> {
+    pub async fn get(&mut self, path: &str, limit: Duration) -> Result<StoreResponse, StoreError> {
         self.call(Method::GET, path, Bytes::new(), limit).await
     }
 
@@ -185,43 +185,43 @@
         path: &str,
         body: Bytes,
         limit: Duration,
-    ) -> Result<StoreAnswer, StoreError> {
+    ) -> Result<StoreResponse, StoreError> {
         let kind = if method == Method::GET {
             "read"
         } else {
             "write"
         };
-        let made = self.call_on_connection(method, path, body);
-        let answer = match timeout(limit, made).await {
-            Ok(answer) => answer,
+        let exchange = self.exchange(method, path, body);
+        let response = match timeout(limit, exchange).await {
+            Ok(response) => response,
             Err(_) => Err(StoreError::TimedOut),
         };
-        let answer = answer.and_then(|answer| self.check(answer));
-        let outcome = answer
+        let response = response.and_then(|response| self.check_era(response));
+        let outcome = response
             .as_ref()
             .map_or_else(StoreError::as_str, |_| "answered");
         metrics::store_call(kind, outcome);
-        let is_outage = answer.as_ref().is_err_and(StoreError::is_outage);
-        let was_lost = std::mem::replace(&mut self.is_lost, is_outage);
-        if was_lost && !self.is_lost {
+        let is_outage = response.as_ref().is_err_and(StoreError::is_outage);
+        let was_unavailable = std::mem::replace(&mut self.is_unavailable, is_outage);
+        if was_unavailable && !self.is_unavailable {
             log::info!("the store answers again");
         }
-        answer
+        response
     }
 
-    async fn call_on_connection(
+    async fn exchange(
         &mut self,
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<WholeAnswer, StoreError> {
+    ) -> Result<BufferedResponse, StoreError> {
         let mut connection = match self.connection.take() {
             Some(connection) if connection.is_open() => connection,
             _ => self.connect().await?,
         };
         let mut req = Request::new(Full::new(body));
         *req.method_mut() = method;
-        *req.uri_mut() = path.parse().map_err(|_| StoreError::Unreached)?;
+        *req.uri_mut() = path.parse().map_err(|_| StoreError::ConnectionFailed)?;
         let headers = req.headers_mut();
         let authority = self.host.settings.store_address.to_string();
         if let Ok(authority) = HeaderValue::from_str(&authority) {
@@ -230,26 +230,26 @@
         let json = HeaderValue::from_static("application/json");
         headers.insert(CONTENT_TYPE, json);
         let response = connection.call(req).await;
-        let response = response.map_err(|_| StoreError::Unreached)?;
-        let answer = read_whole(response).await.ok_or(StoreError::Unreached)?;
+        let response = response.map_err(|_| StoreError::ConnectionFailed)?;
+        let response = read_response(response).await.ok_or(StoreError::ConnectionFailed)?;
         self.connection = Some(connection);
-        Ok(answer)
+        Ok(response)
     }
 
     /// Finds the era of a success, and lets the decisions know it.
     ///
     /// Guards against an answer of a former history that arrives late: what it says may have
     /// been lost since, and its revisions may have been given out again.
-    fn check(&self, answer: WholeAnswer) -> Result<StoreAnswer, StoreError> {
-        let status = answer.status;
+    fn check_era(&self, response: BufferedResponse) -> Result<StoreResponse, StoreError> {
+        let status = response.status;
         if !status.is_success() {
             return Err(StoreError::Status { status });
         }
-        let stated = self.host.platform.parse_store_era(&answer.headers)?;
-        let known = self.host.look(Router::stated_era);
+        let stated = self.host.platform.parse_store_era(&response.headers)?;
+        let known = self.host.read(Router::stated_era);
         let era = match (stated, known) {
             (stated, Some(known)) if stated < Some(known) => {
-                return Err(StoreError::FormerEra { stated, known });
+                return Err(StoreError::OutdatedEra { stated, known });
             }
             // One that never stated any has one history.
             (stated, _) => stated.unwrap_or_default(),
@@ -260,9 +260,9 @@
             }
             self.host.apply(Event::StoreEra(era));
         }
-        Ok(StoreAnswer {
+        Ok(StoreResponse {
             era,
-            body: answer.body,
+            body: response.body,
         })
     }
 
@@ -270,9 +270,9 @@
         let address = self.host.settings.store_address.to_string();
         let limits = ConnectTimeouts {
             connect: CONNECT_TIMEOUT,
-            ..DEFAULT_LIMITS
+            ..DEFAULT_TIMEOUTS
         };
-        let made = connect(&address, limits).await;
-        made.map_err(|_| StoreError::Unreached)
+        let connected = connect(&address, limits).await;
+        connected.map_err(|_| StoreError::ConnectionFailed)
     }
 }
--- a/crates/jaypin_entry/src/store/hosts.rs
+++ b/crates/jaypin_entry/src/store/hosts.rs
@@ -14,14 +14,14 @@
 use crate::ports::{Collection, Freshness, HostRecord, Object};
 
 /// Pause between two looks at whether a peer is heard that was not listed.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause between two listings for the sake of such peers, and its spread: a new host is heard
 /// by its whole cell at once.
-const LIST_PAUSE: Duration = Duration::from_secs(3);
+const LIST_INTERVAL: Duration = Duration::from_secs(3);
 const LIST_SPREAD: std::ops::Range<f64> = 0.3..1.7;
 
 /// Age of a registration from which on each copy of the store has it: copies are seconds old.
-const COPY_AGE: Duration = Duration::from_mins(1);
+const REPLICATION_TIME: Duration = Duration::from_mins(1);
 
 /// Registers this host, then reads who else has registered, and again when a peer is heard
 /// that was not listed. A store that came back from an older copy may have lost a young
@@ -33,48 +33,46 @@
 pub async fn join_fleet(host: Rc<Host>) {
     let mut client = StoreClient::new(&host);
     let mut retries = Retries::default();
-    while let Err(error) = join(&host, &mut client).await {
-        retries.pause_after(&host, "registration", &error).await;
+    while let Err(error) = ensure_registered(&host, &mut client).await {
+        retries.back_off(&host, "registration", &error).await;
     }
     let joined_at = Instant::now();
-    let mut era = host.look(Router::store_era);
+    let mut era = host.read(Router::store_era);
     loop {
         let spread = rand::rng().random_range(LIST_SPREAD);
-        sleep(LIST_PAUSE.mul_f64(spread)).await;
-        while !hears_unlisted(&host) && era == host.look(Router::store_era) {
-            sleep(LOOK_PAUSE).await;
+        sleep(LIST_INTERVAL.mul_f64(spread)).await;
+        while !has_unlisted_peer(&host) && era == host.read(Router::store_era) {
+            sleep(CHECK_INTERVAL).await;
         }
-        let before = std::mem::replace(&mut era, host.look(Router::store_era));
-        let may_be_lost = before.is_some() && before != era && joined_at.elapsed() < COPY_AGE;
-        if may_be_lost && let Err(error) = join(&host, &mut client).await {
+        let before = std::mem::replace(&mut era, host.read(Router::store_era));
+        let may_be_lost = before.is_some() && before != era && joined_at.elapsed() < REPLICATION_TIME;
+        if may_be_lost && let Err(error) = ensure_registered(&host, &mut client).await {
             era = before;
-            retries.pause_after(&host, "registration", &error).await;
+            retries.back_off(&host, "registration", &error).await;
             continue;
         }
-        if !hears_unlisted(&host) {
+        if !has_unlisted_peer(&host) {
             continue;
         }
         match client.list(Collection::Hosts, Freshness::AllowStale).await {
-            Ok((objects, _)) => find_all(&host, &objects),
+            Ok((objects, _)) => record_hosts(&host, &objects),
             Err(error) => log::info!(error:%; "hosts could not be listed again"),
         }
     }
 }
 
-fn hears_unlisted(host: &Host) -> bool {
+fn has_unlisted_peer(host: &Host) -> bool {
     let now = Instant::now().into_std();
-    host.look(|router| router.has_unlisted_peer(now))
+    host.read(|router| router.has_unlisted_peer(now))
 }
 
-async fn join(host: &Host, client: &mut StoreClient<'_>) -> Result<(), StoreError> {
+async fn ensure_registered(host: &Host, client: &mut StoreClient<'_>) -> Result<(), StoreError> {
     let own = HostRecord {
         host: host.settings.host.clone(),
         peer_address: host.settings.peer_address,
     };
     // One that has been there for long lists all that matter also if it lags.
-    let (objects, _) = client
-        .list(Collection::Hosts, Freshness::AllowStale)
-        .await?;
+    let (objects, _) = client.list(Collection::Hosts, Freshness::AllowStale).await?;
     let registered = objects.iter().find(|it| *it.name == *own.host);
     let is_current = registered.is_some_and(|it| {
         let record = host.platform.parse_host(it);
@@ -82,13 +80,13 @@
     });
     // Known at once, however long it takes to register: each host gives out its part of
     // the quotas by how many there are.
-    find_all(host, &objects);
+    record_hosts(host, &objects);
     if is_current {
         return Ok(());
     }
     register(host, client, &own, registered.map(|it| it.point.revision)).await?;
     let (objects, _) = client.list(Collection::Hosts, Freshness::Newest).await?;
-    find_all(host, &objects);
+    record_hosts(host, &objects);
     Ok(())
 }
 
@@ -114,7 +112,7 @@
     }
 }
 
-fn find_all(host: &Host, objects: &[Object]) {
+fn record_hosts(host: &Host, objects: &[Object]) {
     let records = objects.iter().filter_map(|object| {
         let record = host.platform.parse_host(object);
         if let Err(error) = &record {
--- a/crates/jaypin_entry/src/store/rollouts.rs
+++ b/crates/jaypin_entry/src/store/rollouts.rs
@@ -15,9 +15,9 @@
 
 /// How long one watch waits. Answers come at once when something changes, and the other
 /// watchers make up for a connection that went silent.
-const WATCH: Duration = Duration::from_secs(8);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time for an answer to a read after a write that was refused.
-const READ_TIME: Duration = Duration::from_secs(1);
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Follows orders while it falls to this host to watch the store; the others hear of them in
 /// reports. A deployment without a bound for new versions has none.
@@ -30,8 +30,8 @@
     loop {
         wait_until(&host, follows_store).await;
         match follow(&host, &mut client).await {
-            Ok(()) => retries.ended_well(),
-            Err(error) => retries.pause_after(&host, "rollouts", &error).await,
+            Ok(()) => retries.record_success(),
+            Err(error) => retries.back_off(&host, "rollouts", &error).await,
         }
     }
 }
@@ -39,23 +39,23 @@
 async fn follow(host: &Host, client: &mut StoreClient<'_>) -> Result<(), StoreError> {
     let (objects, mut point) = client.list(Collection::Rollouts, Freshness::Newest).await?;
     let listed: Vec<_> = objects.iter().filter_map(|it| read(host, it)).collect();
-    for order in withdrawn(host, &listed, point) {
-        take(host, order);
+    for order in withdrawn_orders(host, &listed, point) {
+        apply(host, order);
     }
     for order in listed {
-        take(host, order);
+        apply(host, order);
     }
-    while host.look(follows_store) {
-        let Some(news) = client.watch(Collection::Rollouts, point, WATCH).await? else {
+    while host.read(follows_store) {
+        let Some(updates) = client.watch(Collection::Rollouts, point, WATCH_TIMEOUT).await? else {
             return Ok(());
         };
-        for change in &news.changes {
-            if let Some(order) = changed(host, change, news.point) {
-                take(host, order);
+        for change in &updates.changes {
+            if let Some(order) = changed(host, change, updates.point) {
+                apply(host, order);
             }
         }
-        point = news.point;
-        if !news.changes.is_empty() {
+        point = updates.point;
+        if !updates.changes.is_empty() {
             sleep(WATCH_PAUSE).await;
         }
     }
@@ -65,14 +65,14 @@
 /// Orders that this host knows and that a listing of a point has no more. An order that has
 /// ended and that the store lost by coming back from an older copy is written again by its
 /// author; its end stands.
-fn withdrawn(host: &Host, listed: &[RolloutOrder], point: StorePoint) -> Vec<RolloutOrder> {
-    let known = host.look(|router| router.rollout_orders().cloned().collect::<Vec<_>>());
+fn withdrawn_orders(host: &Host, listed: &[RolloutOrder], point: StorePoint) -> Vec<RolloutOrder> {
+    let known = host.read(|router| router.rollout_orders().cloned().collect::<Vec<_>>());
     let is_listed = |order: &RolloutOrder| listed.iter().any(|it| it.service == order.service);
-    let gone = known
+    let missing = known
         .into_iter()
         .filter(|it| !is_listed(it) && it.point < point)
         .filter(|it| it.point.era == point.era || !it.state.is_final());
-    let orders = gone.map(|order| RolloutOrder {
+    let orders = missing.map(|order| RolloutOrder {
         state: RolloutState::Withdrawn,
         point,
         ..order
@@ -102,7 +102,7 @@
     }
 }
 
-fn take(host: &Host, order: RolloutOrder) {
+fn apply(host: &Host, order: RolloutOrder) {
     host.apply(Event::RolloutOrderRead(order));
 }
 
@@ -118,7 +118,7 @@
             evidence,
             outcomes,
         } = write;
-        if host.look(|router| is_stale(router, &order)) {
+        if host.read(|router| is_stale(router, &order)) {
             continue;
         }
         let state = order.state.as_str();
@@ -129,7 +129,7 @@
         match write_state(&host, &mut client, &order).await {
             Ok(object) => {
                 if let Some(order) = read(&host, &object) {
-                    take(&host, order);
+                    apply(&host, order);
                 }
             }
             Err(error) => log::warn!(error:%; "a rollout's state was not written"),
@@ -156,12 +156,12 @@
     let platform = &host.platform;
     let path = platform.status_path(Collection::Rollouts, &order.service);
     let body = platform.rollout_status_body(order);
-    let answer = match client.write(Method::PUT, &path, body).await {
+    let response = match client.write(Method::PUT, &path, body).await {
         Err(StoreError::Status { status }) if status == StatusCode::CONFLICT => {
             let path = platform.object_path(Collection::Rollouts, &order.service);
-            client.get(&path, READ_TIME).await?
+            client.get(&path, READ_TIMEOUT).await?
         }
-        answer => answer?,
+        response => response?,
     };
-    Ok(platform.parse_object(&answer.body, answer.era)?)
+    Ok(platform.parse_object(&response.body, response.era)?)
 }
--- a/crates/jaypin_entry/tests/report_bytes.rs
+++ b/crates/jaypin_entry/tests/report_bytes.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use jaypin_entry::{
-    HandedConfiguration, Object, WireError, decode_configuration, decode_entries, decode_report,
+    ConfigurationSnapshot, Object, WireError, decode_configuration, decode_entries, decode_report,
     encode_configuration, encode_entries, encode_report,
 };
 use jaypin_router::{
-    ArrivalCount, BackendLoad, BackendRecord, BackendSamples, BackendSignals, BackendStatus,
-    EntryChange, OutcomeCounts, Rank, Report, RolloutOrder, RolloutReport, RolloutState,
-    RouteOutcomes, SignalReport, StorePoint, StoreView, Strike, VersionOutcomes, WholeReport,
+    ArrivalCount, BackendLoad, BackendRecord, BackendSamples, BackendSignals, BackendStatus, EntryChange,
+    OutcomeCounts, Rank, Report, RolloutOrder, RolloutReport, RolloutState, RouteOutcomes,
+    SignalReport, StorePoint, StoreView, Strike, VersionOutcomes, WholeReport,
 };
 use rand::RngExt;
 use rand::SeedableRng;
@@ -208,7 +208,7 @@
         point: StorePoint::new(3, 77),
         content,
     };
-    let handed = HandedConfiguration {
+    let handed = ConfigurationSnapshot {
         version: u64::MAX,
         proof_age: None,
         object: Some(object),
@@ -223,7 +223,7 @@
 fn a_proof_that_is_handed_over_grows_no_younger() {
     for micros in [0, 1, 999, 1_000, 1_001, 3_999_999] {
         let age = Duration::from_micros(micros);
-        let handed = HandedConfiguration {
+        let handed = ConfigurationSnapshot {
             version: 3,
             proof_age: Some(age),
             object: None,
