--- a/crates/jaypin_entry/src/callers/attempt.rs
+++ b/crates/jaypin_entry/src/callers/attempt.rs
@@ -1,4 +1,4 @@
-//! One call of a request to a backend server.
+//! One attempt of a request: a call to a backend server whose response is forwarded.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
 };
 use crate::ports::{BackendResponse, ForwardContext};
 
-/// Header with which a stream is gone on with, by the standard of server-sent events.
+/// Header with which a stream is resumed, as defined for server-sent events.
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
 impl RequestTask {
-    /// Sends the request as ordered and passes on what comes; says how the call ended.
+    /// Sends the request as ordered, forwards the response, and returns how the call ended.
     pub(super) async fn attempt(&mut self, order: &SendOrder) -> AttemptOutcome {
         let mut delivery = std::mem::replace(&mut self.delivery, Delivery::Done);
         let outcome = tokio::select! {
@@ -32,13 +32,14 @@
         };
         self.delivery = delivery;
         match outcome {
-            // A process that is gone refuses connections; one that only lost an answer
-            // takes them.
+            // An exited process refuses connections; one that only failed to respond accepts
+            // them.
             AttemptOutcome::Lost if !self.is_reachable(order).await => AttemptOutcome::Died,
             other => other,
         }
     }
 
+    /// Checks whether the backend server accepts a connection.
     async fn is_reachable(&self, order: &SendOrder) -> bool {
         match connect(&order.address, DEFAULT_TIMEOUTS).await {
             Ok(connection) => {
@@ -49,6 +50,7 @@
         }
     }
 
+    /// Calls the backend server and forwards its response.
     async fn call_backend(&mut self, order: &SendOrder, delivery: &mut Delivery) -> AttemptOutcome {
         let (mut connection, response) = loop {
             let acquired = tokio::select! {
@@ -63,7 +65,9 @@
                 return AttemptOutcome::Withheld;
             }
             let req = self.backend_request(order);
-            let limit = order.first_event_timeout.filter(|_| !delivery.is_streaming());
+            let limit = order
+                .first_event_timeout
+                .filter(|_| !delivery.is_streaming());
             let sent = tokio::select! {
                 sent = with_timeout(limit, connection.call(req)) => sent,
                 () = delivery.caller_disconnected() => return AttemptOutcome::Abandoned,
@@ -71,7 +75,8 @@
             match sent {
                 None => return AttemptOutcome::Silent,
                 Some(Ok(response)) => break (connection, response),
-                // It had been closed while idle; a new one tells more.
+                // The backend server closed the connection while it was idle. Only a new one
+                // shows whether the server can be reached.
                 Some(Err(CallError::NotSent)) if connection.is_reused => {}
                 Some(Err(CallError::NotSent)) => return AttemptOutcome::Unreached,
                 Some(Err(CallError::Interrupted)) => return AttemptOutcome::Lost,
@@ -83,23 +88,28 @@
             .host
             .platform
             .parse_backend_response(status, response.headers());
-        if let Some(outcome) = self.invalid_response(&backend_head, &response) {
+        if let Some(outcome) = self.reject_foreign_response(&backend_head, &response) {
             return outcome;
         }
         self.apply_signals(order, &backend_head);
         if backend_head.is_not_run {
-            return self.not_run(connection, response, &backend_head).await;
+            return self
+                .finish_not_run(connection, response, &backend_head)
+                .await;
         }
         if status.is_success() && order.repeat.is_stream() {
-            return self.forward_stream(order, connection, response, delivery).await;
+            return self
+                .forward_stream(order, connection, response, delivery)
+                .await;
         }
         self.forward_whole(connection, response, delivery).await
     }
 
-    /// Tells the reducer what the backend server says of itself, and logs a change.
+    /// Passes the rate limit, the leaving state and the backoff in a backend server's response
+    /// headers to the reducer, and logs a change of the first two.
     fn apply_signals(&self, order: &SendOrder, head: &BackendResponse) {
         let backend = &order.backend;
-        // The server that answered is not the one that is known by this id.
+        // The responding server is not the one that is registered under this id.
         if head.is_misdirected {
             return;
         }
@@ -108,14 +118,14 @@
         let rate_limit = match &head.rate_limit {
             Ok(rate_limit) => *rate_limit,
             Err(error) => {
-                log::warn!(backend, error:%; "signals of a backend server make no sense");
+                log::warn!(backend, error:%; "invalid rate limit from a backend server; keeping the previous one");
                 before.rate_limit
             }
         };
         let backoff = match &head.backoff {
             Ok(backoff) => *backoff,
             Err(error) => {
-                log::warn!(backend, error:%; "the backoff that a backend server requests makes no sense");
+                log::warn!(backend, error:%; "invalid backoff from a backend server; ignored");
                 None
             }
         };
@@ -138,23 +148,29 @@
         }
     }
 
-    /// An answer to another request, or bytes that no backend server of ours marked.
+    /// Rejects a response to another request, a success that lacks the header or the id that
+    /// backend servers add, and an encoded response.
     ///
-    /// Guards against answers that come late or twice: on a kept connection they would be
-    /// taken for the next request's, and one caller would get another's data.
-    fn invalid_response(
+    /// Guards against responses that arrive late or twice: on a reused connection they would
+    /// be taken for the next request's, and one caller would get another's data.
+    fn reject_foreign_response(
         &self,
         head: &BackendResponse,
         response: &Response<Incoming>,
     ) -> Option<AttemptOutcome> {
-        let is_other = head.id.as_ref().is_some_and(|id| *id != self.received.header.id);
+        let is_other = head
+            .id
+            .as_ref()
+            .is_some_and(|id| *id != self.received.header.id);
         let is_success = response.status().is_success();
         let is_unmarked = is_success && (!head.is_from_backend || head.id.is_none());
         let is_encoded = response.headers().contains_key(CONTENT_ENCODING);
         (is_other || is_unmarked || is_encoded).then_some(AttemptOutcome::Lost)
     }
 
-    async fn not_run(
+    /// Reads a response that declares the request as not run, so that its connection can be
+    /// reused.
+    async fn finish_not_run(
         &self,
         connection: Connection,
         response: Response<Incoming>,
@@ -170,6 +186,8 @@
         }
     }
 
+    /// Reads the whole response and sends it to the caller. A server error is kept instead,
+    /// since another attempt may succeed.
     async fn forward_whole(
         &mut self,
         connection: Connection,
@@ -193,6 +211,7 @@
         AttemptOutcome::Complete
     }
 
+    /// Forwards the events of a stream to the caller until the stream ends.
     async fn forward_stream(
         &mut self,
         order: &SendOrder,
@@ -207,9 +226,11 @@
         let mut has_first_event = false;
         loop {
             let limit = if has_first_event {
-                order.event_gap_timeout
+                order.stall_timeout
             } else {
-                order.first_event_timeout.map(|it| it.saturating_sub(sent_at.elapsed()))
+                order
+                    .first_event_timeout
+                    .map(|it| it.saturating_sub(sent_at.elapsed()))
             };
             let frame = tokio::select! {
                 frame = with_timeout(limit, body.frame()) => frame,
@@ -226,7 +247,8 @@
             }
             while let Some(event) = reader.next_event() {
                 let id = event_id(&event);
-                // After a change of backend servers, what was passed on does not come again.
+                // A stream that is resumed at another backend server may repeat events that
+                // were already forwarded.
                 if id.is_some() && id <= self.last_id {
                     continue;
                 }
@@ -250,7 +272,7 @@
                 }
             }
         }
-        if reader.has_rest() || !has_first_event {
+        if reader.has_partial_event() || !has_first_event {
             return AttemptOutcome::Lost;
         }
         delivery.end_stream().await;
@@ -258,6 +280,7 @@
         AttemptOutcome::Complete
     }
 
+    /// Returns the request as it is sent to a backend server.
     fn backend_request(&self, order: &SendOrder) -> Request<Full<Bytes>> {
         let time_left = order.deadline.saturating_duration_since(Instant::now());
         let forward = ForwardContext {
@@ -280,13 +303,14 @@
     }
 }
 
-/// The path and query without a host: what a caller sent in the absolute form is asked of
-/// the backend server in the usual one.
+/// Returns the path and query of a URI: a request target that a caller sent in absolute form
+/// is sent to the backend server in origin form.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map(Uri::from).unwrap_or_default()
 }
 
+/// Awaits a future, with a time limit if there is one. Returns `None` on timeout.
 async fn with_timeout<T>(limit: Option<Duration>, future: impl Future<Output = T>) -> Option<T> {
     match limit {
         Some(limit) => timeout(limit, future).await.ok(),
--- a/crates/jaypin_entry/src/callers/delivery.rs
+++ b/crates/jaypin_entry/src/callers/delivery.rs
@@ -1,4 +1,4 @@
-//! The way of an answer to its caller.
+//! Delivery of a response to its caller.
 
 use std::io;
 use std::pin::Pin;
@@ -14,22 +14,23 @@
 use super::response::{HttpResponse, ResponseBody, full_body};
 use crate::calls::BufferedResponse;
 
-/// Events that may wait for a slow caller; with more, its backend server has to wait.
+/// Events that are buffered for a slow caller. Once the buffer is full, reading from the
+/// backend server pauses.
 const EVENT_BUFFER_LEN: usize = 16;
 
-/// Where the answer of one request goes.
+/// Destination of the response to one request.
 #[derive(Debug)]
 pub enum Delivery {
-    /// Nothing was answered.
+    /// Nothing was sent.
     Pending(oneshot::Sender<HttpResponse>),
-    /// A stream was begun.
+    /// The head of a stream was sent.
     Streaming(mpsc::Sender<io::Result<Bytes>>),
-    /// Everything was answered.
+    /// The response was sent completely.
     Done,
 }
 
 impl Delivery {
-    /// Ends when the caller has left.
+    /// Waits until the caller disconnects.
     pub async fn caller_disconnected(&mut self) {
         match self {
             Self::Pending(tx) => tx.closed().await,
@@ -38,30 +39,31 @@
         }
     }
 
-    /// Whether a stream was begun.
+    /// Returns whether the head of a stream was sent.
     pub fn is_streaming(&self) -> bool {
         matches!(self, Self::Streaming(_))
     }
 
-    /// Gives a whole answer; a stream that was begun is broken off instead, so that no
-    /// caller takes a part for the whole.
+    /// Sends a whole response. A stream whose head was sent is aborted instead, so that no
+    /// caller takes a part of a response for the whole.
     pub fn send_response(&mut self, response: HttpResponse) {
         match std::mem::replace(self, Self::Done) {
             Self::Pending(tx) => {
-                // A caller that has left in this moment needs no answer.
+                // The caller may have disconnected in the meantime.
                 let _ = tx.send(response);
             }
             Self::Streaming(tx) => {
-                let cut = io::Error::other("the stream can't be completed");
-                // Full or closed: dropping the sender without the end marks the cut, as
-                // `EventBody` ends well only when it is told to.
-                let _ = tx.try_send(Err(cut));
+                let aborted =
+                    io::Error::other("stream aborted: the request failed after its head was sent");
+                // If the channel is full or closed, dropping the sender aborts the stream
+                // too: `EventBody` ends normally only after the end marker.
+                let _ = tx.try_send(Err(aborted));
             }
             Self::Done => {}
         }
     }
 
-    /// Begins a stream with the header of its first backend server.
+    /// Sends the head of a stream, as received from the first backend server.
     pub fn begin_stream(&mut self, status: StatusCode, headers: &HeaderMap) {
         if let Self::Pending(_) = self {
             let (tx, rx) = mpsc::channel(EVENT_BUFFER_LEN);
@@ -76,7 +78,8 @@
         }
     }
 
-    /// Passes an event on; says whether the caller still takes them.
+    /// Sends an event, waiting while the buffer is full. Returns `false` if the caller has
+    /// disconnected.
     pub async fn send_event(&mut self, event: Bytes) -> bool {
         match self {
             Self::Streaming(tx) => tx.send(Ok(event)).await.is_ok(),
@@ -84,16 +87,17 @@
         }
     }
 
-    /// Ends a stream well.
+    /// Ends a stream normally.
     pub async fn end_stream(&mut self) {
         if let Self::Streaming(tx) = std::mem::replace(self, Self::Done) {
-            // An empty chunk is the mark of a good end.
+            // An empty chunk is the end marker.
             let _ = tx.send(Ok(Bytes::new())).await;
         }
     }
 }
 
-/// A backend server's whole answer, as it came.
+/// Returns a backend server's whole response for its caller, without the headers of the
+/// connection.
 pub fn forward_response(response: BufferedResponse) -> HttpResponse {
     build_response(response.status, &response.headers, full_body(response.body))
 }
@@ -102,7 +106,7 @@
     let mut response = Response::new(body);
     *response.status_mut() = status;
     let kept = headers.iter().filter(|(name, _)| {
-        // Length and framing are those of this connection.
+        // Length and framing belong to the connection to the backend server.
         !matches!(
             name.as_str(),
             "connection" | "keep-alive" | "proxy-connection" | "upgrade"
@@ -114,10 +118,10 @@
     response
 }
 
-/// Events on their way to a caller.
+/// Response body of a stream, fed with events through a channel.
 ///
-/// Guards against a stream that ends early and looks whole: without the mark of a good
-/// end, a closed channel breaks the connection off.
+/// Guards against a stream that ends early and looks complete: a channel that is closed
+/// without the end marker aborts the connection.
 #[derive(Debug)]
 struct EventBody {
     rx: mpsc::Receiver<io::Result<Bytes>>,
@@ -143,8 +147,9 @@
             Poll::Ready(Some(event)) => Poll::Ready(Some(event.map(Frame::data))),
             Poll::Ready(None) => {
                 self.is_ended = true;
-                let cut = io::Error::other("the stream was cut");
-                Poll::Ready(Some(Err(cut)))
+                let aborted =
+                    io::Error::other("stream aborted: no end marker before the channel closed");
+                Poll::Ready(Some(Err(aborted)))
             }
             Poll::Pending => Poll::Pending,
         }
--- a/crates/jaypin_entry/src/callers/directory.rs
+++ b/crates/jaypin_entry/src/callers/directory.rs
@@ -1,4 +1,4 @@
-//! Small questions: which addresses to use, and whether the host is ready.
+//! Server for readiness checks, lists of callers' addresses, and metrics.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,24 +21,26 @@
 use crate::host::Host;
 use crate::metrics;
 
-/// How long an entry answer holds. Callers hear of a new or leaving host within that time,
-/// and ask once in it: a hundred callers cost each of thirteen hosts three answers a second.
+/// Lifetime of an address list. Callers learn of a new or draining host within that time and
+/// send one query in it: a hundred callers cost each of thirteen hosts three responses a
+/// second.
 const ADDRESS_LIST_TTL: Duration = Duration::from_secs(2);
-/// Addresses in one answer; callers take no more of them.
+/// Most addresses in one list; callers use no more.
 const MAX_ADDRESSES: usize = 64;
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Time for a header, and between two questions on one connection.
+/// Timeout of a request header, and of the idle time between two requests.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause after a connection could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
-/// Answers questions until the task is dropped.
+/// Serves readiness checks, address lists and metrics until the task is dropped.
 pub async fn serve_queries(host: Rc<Host>, listener: TcpListener) {
     serve_responses(host, listener, |_, _| true, respond).await;
 }
 
-/// Serves answers that are at hand, to whom they may go, until the task is dropped.
+/// Serves responses that need no waiting until the task is dropped. Connections from
+/// addresses that `is_admitted` rejects are closed.
 pub async fn serve_responses(
     host: Rc<Host>,
     listener: TcpListener,
@@ -49,13 +51,13 @@
         let (stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!(error:%; "can't accept a question");
+                log::warn!(error:%; "accepting a query connection failed; retrying after a pause");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
         if !is_admitted(&host, from) {
-            log::warn!(from:%; "a stranger was turned away");
+            log::warn!(from:%; "connection from an address of no registered host rejected");
             continue;
         }
         let host = host.clone();
@@ -69,7 +71,7 @@
             .serve_connection(TokioIo::new(stream), service);
         spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!(error:%; "a question broke off");
+                log::debug!(error:%; "a query connection ended with an error");
             }
         });
     }
@@ -105,7 +107,8 @@
     }
 }
 
-/// A host that knows of none that is ready answers 503, and callers ask another one.
+/// Returns the address list in random order. A host that knows no ready host responds with
+/// 503, and callers query another one.
 fn address_list(host: &Host, mut addresses: Vec<SocketAddr>) -> HttpResponse {
     if addresses.is_empty() {
         return empty_response(StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/jaypin_entry/src/callers/event_timing.rs
+++ b/crates/jaypin_entry/src/callers/event_timing.rs
@@ -1,26 +1,27 @@
-//! When the events of a stream came.
+//! Timing of the events of a stream.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Events of a stream, or time that they took, after which the decisions are told of them: an
-/// engine that turns slow shows within two events.
+/// Number of events after which an event rate is reported to the reducer.
 const REPORT_EVENTS: u32 = 8;
+/// Time after which an event rate is reported with fewer events: an engine that becomes slow
+/// shows within two events.
 const REPORT_TIME: Duration = Duration::from_millis(150);
 
-/// When the first event of a request came, and the longest time between two.
+/// Arrival of the first event of a request, and the longest time between two events.
 #[derive(Debug, Default)]
 pub struct EventTimes {
-    /// The first event.
+    /// Arrival of the first event; `None` before it.
     pub first: Option<Instant>,
-    /// The longest time between two, also where they come from two backend servers.
+    /// The longest time between two events, also across a change of backend servers.
     pub longest_pause: Duration,
     last: Option<Instant>,
 }
 
 impl EventTimes {
-    /// Notes an event.
+    /// Records the arrival of an event.
     pub fn record_event(&mut self) {
         let now = Instant::now();
         self.first.get_or_insert(now);
@@ -30,7 +31,7 @@
     }
 }
 
-/// How fast one backend server makes the events of one call.
+/// Measures the rate at which one backend server sends the events of one call.
 #[derive(Debug, Default)]
 pub struct EventRate {
     last: Option<Instant>,
@@ -39,7 +40,8 @@
 }
 
 impl EventRate {
-    /// Notes an event; now and then gives what the decisions should hear.
+    /// Records the arrival of an event. Returns the number of events since the last report and
+    /// the time between them once a report is due.
     pub fn record_event(&mut self) -> Option<(u32, Duration)> {
         let now = Instant::now();
         let last = self.last.replace(now)?;
--- a/crates/jaypin_entry/src/callers/mod.rs
+++ b/crates/jaypin_entry/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers.
+//! The HTTP server for callers.
 
 mod attempt;
 mod delivery;
@@ -30,36 +30,37 @@
 use crate::host::Host;
 use response::with_connection_close;
 
-/// Connections that may wait to be accepted.
+/// Length of the queue of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
-/// Least time for a connection without a request, whatever the configuration says.
+/// Shortest timeout of a connection without a request, whatever the configuration states.
 ///
-/// The same timer bounds a header that never ends and a connection that is idle between
-/// two requests, and callers use connections again for most of the configured idle time.
+/// The same timer bounds a request header that never ends and the idle time between two
+/// requests, and callers reuse connections for most of the configured idle time.
 const MIN_IDLE_TIME: Duration = Duration::from_secs(20);
-/// Factor on the configured idle time, so that no request crosses our close.
+/// Factor on the configured idle time, so that no request is sent while this host closes the
+/// connection.
 const IDLE_FACTOR: f64 = 1.3;
-/// Largest header when no configuration is known yet, in bytes.
+/// Largest request header before a configuration is known, in bytes.
 const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
-/// Smallest buffer that the HTTP library takes, in bytes.
+/// Smallest buffer that the HTTP library accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
-/// Pause after a connection could not be accepted: descriptors have to come free.
+/// Pause after a failed accept, in which file descriptors may become free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// Time without an acknowledgement after which a caller's connection is given up.
+/// Time without an acknowledgement after which a caller's connection is closed.
 const USER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Idle time before a keep-alive probe, and pause between probes.
+/// Idle time before the first keep-alive probe, and time between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Opens a listener.
 ///
 /// # Errors
-/// Gives what the system gave.
+/// Returns the error of the failed system call.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
-    // Accepted sockets inherit these. They end connections that went silent towards
-    // callers: no close arrives, and writes would pile up.
+    // Accepted sockets inherit these options. They end connections whose caller has vanished
+    // without a close: writes to it would accumulate.
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
         .with_interval(KEEPALIVE_INTERVAL);
@@ -71,18 +72,18 @@
     TcpListener::from_std(socket.into())
 }
 
-/// How far a host is on its way out, as connections see it.
+/// Phase of a host's drain, which decides when connections are closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainPhase {
-    /// It stays.
+    /// The host does not drain.
     Serving,
-    /// Each answer closes its connection.
+    /// Each response closes its connection.
     CloseAfterResponse,
     /// Idle connections are closed.
     CloseIdle,
 }
 
-/// Accepts callers until the task is dropped.
+/// Accepts callers' connections until the task is dropped.
 pub async fn serve_callers(
     host: Rc<Host>,
     listener: TcpListener,
@@ -94,7 +95,7 @@
                 spawn_local(serve(host.clone(), stream, phase.clone()));
             }
             Err(error) => {
-                log::warn!(error:%; "can't accept a connection");
+                log::warn!(error:%; "accepting a caller's connection failed; retrying after a pause");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/crates/jaypin_entry/src/callers/read_request.rs
+++ b/crates/jaypin_entry/src/callers/read_request.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to what the decisions need to know of it.
+//! Reading and parsing of callers' HTTP requests.
 
 use std::time::Duration;
 
@@ -13,30 +13,30 @@
 use crate::host::Host;
 use crate::ports::CallerRequest;
 
-/// Largest body when no configuration is known yet, in bytes.
+/// Largest body before a configuration is known, in bytes.
 const DEFAULT_MAX_BODY_BYTES: usize = 1024 * 1024;
-/// Time for a caller to send its body, where it states no patience.
+/// Time for a caller to send its body if the request states no timeout.
 const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a request was turned away before a decision.
+/// Why a request was rejected before it reached the reducer.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// A header makes no sense.
+    /// A header is invalid.
     #[snafu(display("{message}"))]
     Header {
-        /// Which one, and why.
+        /// Which header is invalid, and why.
         message: String,
     },
-    /// The body is too large.
-    #[snafu(display("the body is larger than the configuration allows"))]
+    /// The body is larger than the configured limit.
+    #[snafu(display("the request body is larger than the configured limit"))]
     TooLarge,
-    /// The body did not come whole in time.
-    #[snafu(display("the body did not arrive whole in time"))]
+    /// The body did not arrive completely in time.
+    #[snafu(display("the request body did not arrive completely in time"))]
     Incomplete,
 }
 
 impl ReadError {
-    /// Status of the answer.
+    /// Returns the status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Header { .. } => StatusCode::BAD_REQUEST,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The reason in one word.
+    /// Returns the reason as written in the response body.
     pub fn reason(&self) -> &'static str {
         match self {
             Self::Header { .. } => "header",
@@ -55,39 +55,41 @@
     }
 }
 
-/// A request that was read whole.
+/// A request that was read completely.
 #[derive(Debug)]
 pub struct ReceivedRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query, as the caller sent them.
+    /// Request target, as the caller sent it.
     pub uri: Uri,
-    /// Its header.
+    /// HTTP headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
-    /// What its header says.
+    /// Values parsed from the headers.
     pub header: CallerRequest,
-    /// Fingerprint of path, caller and body.
+    /// Hash of path, credential and body.
     pub fingerprint: u64,
-    /// When its header was read.
+    /// Time at which the headers were read.
     pub received_at: Instant,
 }
 
-/// Reads a request whole.
+/// Reads a request completely.
 ///
 /// # Errors
-/// Says why it is turned away.
+/// Fails if a header is invalid, or if the body is too large or does not arrive in time.
 pub async fn read(host: &Host, req: Request<Incoming>) -> Result<ReceivedRequest, ReadError> {
     let received_at = Instant::now();
     let (head, body) = req.into_parts();
     let header = host.platform.parse_caller_request(&head.headers);
     let header = header.map_err(|error| ReadError::Header {
-        message: error.message, })?;
+        message: error.message,
+    })?;
     let body_timeout = header.timeout.unwrap_or(DEFAULT_BODY_TIMEOUT);
     let max_bytes = host.read(|router| {
         let table = router.table();
-        table.map_or(DEFAULT_MAX_BODY_BYTES, |it| { it.configuration().limits.body_bytes
+        table.map_or(DEFAULT_MAX_BODY_BYTES, |it| {
+            it.configuration().limits.body_bytes
         })
     });
     let collected = timeout(body_timeout, Limited::new(body, max_bytes).collect()).await;
@@ -108,7 +110,8 @@
     })
 }
 
-/// Salted by caller, so that no caller can have another's requests refused.
+/// Returns a hash of a request. The credential is part of it, so that no caller can cause
+/// another caller's requests to be refused.
 fn fingerprint(uri: &Uri, credential: Option<&str>, body: &[u8]) -> u64 {
     let mut hash = Xxh3Default::new();
     hash.update(credential.unwrap_or_default().as_bytes());
--- a/crates/jaypin_entry/src/callers/request_task.rs
+++ b/crates/jaypin_entry/src/callers/request_task.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its answer.
+//! The task that handles one request from its arrival to its response.
 
 use std::rc::Rc;
 
@@ -12,14 +12,14 @@
 use super::read_request::ReceivedRequest;
 use super::response::{HttpResponse, refusal_response, rejection_response};
 use crate::boot_clock::boot_time;
-use crate::calls::{BufferedResponse,SendOrder};
+use crate::calls::{BufferedResponse, SendOrder};
 use crate::host::{Directive, Host, Mailbox};
 use crate::metrics;
 
-/// Takes a request in and gives the head of its answer.
+/// Handles a request and returns the response, whose body may still be streaming.
 ///
-/// The request runs in a task of its own, which notices when this future is dropped: that
-/// is how the caller's leaving shows before an answer.
+/// The request runs in a task of its own, which notices when this future is dropped: before
+/// a response, that is how a disconnected caller is detected.
 pub async fn start(host: Rc<Host>, received: ReceivedRequest) -> HttpResponse {
     let (reply, head) = oneshot::channel();
     let (number, mailbox) = host.open_mailbox();
@@ -35,12 +35,12 @@
     };
     spawn_local(task.run());
     head.await.unwrap_or_else(|_| {
-        // Only a broken invariant ends the task without an answer.
+        // The task sends a response before it ends unless an invariant is broken.
         refusal_response(&Refusal::after_dispatch(Reason::BackendLost, Ran::Unknown))
     })
 }
 
-/// A request under way.
+/// A request in progress.
 #[derive(Debug)]
 pub(super) struct RequestTask {
     pub(super) host: Rc<Host>,
@@ -48,15 +48,16 @@
     pub(super) number: RequestNumber,
     mailbox: Rc<Mailbox>,
     pub(super) delivery: Delivery,
-    /// The failure that a backend server gave, passed on when nothing better comes.
+    /// The error response of a backend server, which is forwarded if no attempt succeeds.
     pub(super) failure: Option<BufferedResponse>,
-    /// Id of the last event that was passed on.
+    /// Id of the last event that was forwarded.
     pub(super) last_id: Option<u64>,
-    /// When its events came, for the log.
+    /// Timing of the forwarded events, for the log and metrics.
     pub(super) times: EventTimes,
 }
 
 impl RequestTask {
+    /// Carries out the reducer's directives until the request has ended.
     async fn run(mut self) {
         let arrival = self.arrival();
         self.host.apply(Event::Arrived(arrival));
@@ -83,7 +84,7 @@
                     }
                 }
                 other => {
-                    self.send_own_response(other);
+                    self.send_failure(other);
                     break;
                 }
             }
@@ -107,7 +108,8 @@
         }
     }
 
-    fn send_own_response(&mut self, directive: Directive) {
+    /// Sends the response of a request that ends without a successful attempt.
+    fn send_failure(&mut self, directive: Directive) {
         let response = match directive {
             Directive::Reject(reason, inputs) => {
                 self.count_outcome(reason.as_str());
@@ -123,7 +125,10 @@
                 self.count_outcome("failed");
                 match self.failure.take() {
                     Some(failure) => forward_response(failure),
-                    None => refusal_response(&Refusal::after_dispatch(Reason::BackendLost, Ran::Unknown,)),
+                    None => refusal_response(&Refusal::after_dispatch(
+                        Reason::BackendLost,
+                        Ran::Unknown,
+                    )),
                 }
             }
         };
--- a/crates/jaypin_entry/src/callers/response.rs
+++ b/crates/jaypin_entry/src/callers/response.rs
@@ -1,4 +1,4 @@
-//! Answers that this host gives itself.
+//! Responses that this host generates.
 
 use std::io;
 
@@ -13,38 +13,38 @@
 
 use super::read_request::ReadError;
 
-/// Body of every answer; an error in it breaks the connection off.
+/// Body of every response; an error in it aborts the connection.
 pub type ResponseBody = UnsyncBoxBody<Bytes, io::Error>;
-/// Every answer.
+/// The response type of all servers.
 pub type HttpResponse = Response<ResponseBody>;
 
-/// What a caller reads when its request did not succeed.
+/// JSON body of the response to a request that did not succeed.
 #[derive(Debug, Serialize)]
 struct RefusalBody {
     reason: &'static str,
     outcome: &'static str,
 }
 
-/// A body that is there as a whole.
+/// Returns a body of the given bytes.
 pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// An answer that is nothing but a status.
+/// Returns a response with a status and an empty body.
 pub fn empty_response(status: StatusCode) -> HttpResponse {
     let mut response = Response::new(full_body(""));
     *response.status_mut() = status;
     response
 }
 
-/// An answer of bytes.
+/// Returns a response with status 200 and the given bytes.
 pub fn bytes_response(bytes: impl Into<Bytes>) -> HttpResponse {
     Response::new(full_body(bytes))
 }
 
-/// A refusal by the decisions.
+/// Returns the response to a request that the reducer refused.
 pub fn refusal_response(refusal: &Refusal) -> HttpResponse {
     let body = RefusalBody {
         reason: refusal.reason.as_str(),
@@ -60,7 +60,7 @@
     response
 }
 
-/// The answer to a request that the configuration does not allow.
+/// Returns the response to a request without a route or with an unknown credential.
 pub fn rejection_response(reason: Unrouted) -> HttpResponse {
     let status = match reason {
         Unrouted::NoRoute => StatusCode::NOT_FOUND,
@@ -71,14 +71,14 @@
     json(status, &RefusalBody { reason, outcome })
 }
 
-/// The answer to a request that could not be read.
+/// Returns the response to a request that could not be read.
 pub fn read_error_response(error: &ReadError) -> HttpResponse {
     let outcome = Ran::NotRun.as_str();
     let reason = error.reason();
     json(error.status(), &RefusalBody { reason, outcome })
 }
 
-/// An answer after which the connection closes.
+/// Adds the header that closes the connection after the response.
 pub fn with_connection_close(mut response: HttpResponse) -> HttpResponse {
     let close = HeaderValue::from_static("close");
     response.headers_mut().insert(CONNECTION, close);
@@ -93,7 +93,8 @@
     response
 }
 
-/// Statuses that callers read as "not run" are given only where that is true.
+/// Returns the status for a refusal. Callers read some statuses as "not run", which are used
+/// only if the request did not run.
 fn status_of(refusal: &Refusal) -> StatusCode {
     match (refusal.ran, refusal.reason) {
         (Ran::NotRun, Reason::OverLimit) => StatusCode::TOO_MANY_REQUESTS,
--- a/crates/jaypin_entry/src/calls/buffered_response.rs
+++ b/crates/jaypin_entry/src/calls/buffered_response.rs
@@ -1,26 +1,27 @@
-//! Answers that are read whole before they are passed on.
+//! Responses that are read completely before they are used.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Response, StatusCode};
 
-/// Largest answer that is no stream, in bytes. Plain services answer with a few kilobytes;
-/// a host has memory for some hundred of these at once.
+/// Largest response that is not a stream, in bytes. Services without streams respond with a
+/// few kilobytes; a host has memory for a few hundred responses of this size at once.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// An answer of a backend server.
+/// A response that was read completely.
 #[derive(Debug)]
 pub struct BufferedResponse {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its header.
+    /// HTTP headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
 }
 
-/// Reads an answer to its end; gives nothing when it is cut.
+/// Reads a response to its end. Returns `None` if the body is cut or larger than
+/// `MAX_RESPONSE_BYTES`.
 pub async fn read_response(response: Response<Incoming>) -> Option<BufferedResponse> {
     let (head, body) = response.into_parts();
     let body = Limited::new(body, MAX_RESPONSE_BYTES)
--- a/crates/jaypin_entry/src/calls/connection_pool.rs
+++ b/crates/jaypin_entry/src/calls/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers and to the store, kept for the next call.
+//! Connections to backend servers and to the store, which are reused for later calls.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,49 +13,49 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// How long a backend server may take to be connected to, and to acknowledge bytes.
+/// Timeouts of a connection to a backend server.
 ///
-/// Three network delays at the largest distance of today's fleets are 20 ms; a lost opening
-/// packet is sent again only after a second, and another backend server is found sooner.
+/// Three network delays at the largest distance within a fleet take 20 ms. A lost SYN packet
+/// is retransmitted only after a second; another backend server is connected to sooner.
 pub const DEFAULT_TIMEOUTS: ConnectTimeouts = ConnectTimeouts {
     connect: Duration::from_millis(300),
     unacknowledged: ACK_TIMEOUT,
 };
-/// Time without an acknowledgement after which a connection is given up: bytes that were
-/// lost are sent again several times in it.
+/// Time without an acknowledgement after which a connection is closed. Lost bytes are
+/// retransmitted several times within it.
 const ACK_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time for which an idle connection is used again when its backend server states none.
+/// Time for which an idle connection is reused if the response has no `keep-alive` timeout.
 const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(500);
-/// Time by which a stated idle time is cut: the backend server counts from when it sent
-/// its answer, and the next request is on its way for some milliseconds.
+/// Time by which a stated idle timeout is reduced: the backend server counts from the end of
+/// its response, and the next request takes some milliseconds to arrive.
 const IDLE_MARGIN: Duration = Duration::from_millis(400);
-/// Header with a stated idle time.
+/// Header that states the idle timeout of a connection.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// An open connection with no call on it.
+/// An open connection without a call in progress.
 #[derive(Debug)]
 pub struct Connection {
     sender: Sender,
     address: String,
     expires_at: Option<Instant>,
-    /// Whether it served a call before.
+    /// Whether the connection served a call before.
     pub is_reused: bool,
 }
 
-/// What became of a call that got no answer.
+/// Why a call got no response.
 #[derive(Debug)]
 pub enum CallError {
-    /// No byte of it left.
+    /// No byte of the request was sent.
     NotSent,
-    /// It may have arrived.
+    /// The connection failed after the request was sent; the request may have arrived.
     Interrupted,
 }
 
 impl Connection {
-    /// Makes one call.
+    /// Sends one request and waits for the head of its response.
     ///
     /// # Errors
-    /// Says whether the call may have arrived.
+    /// Fails if no response arrived; the error states whether the request was sent.
     pub async fn call(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -67,12 +67,13 @@
         }
     }
 
-    /// Whether the other end has not closed it, as far as is known.
+    /// Checks that the other end has not closed the connection, as far as is known.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Notes until when the other end keeps it open.
+    /// Sets the time until which the other end keeps the connection open, from the headers of
+    /// a response.
     pub fn update_expiry(&mut self, headers: &HeaderMap) {
         let closes = headers
             .get(CONNECTION)
@@ -94,17 +95,17 @@
     Some(Duration::from_secs(seconds.trim().parse().ok()?))
 }
 
-/// Idle connections, by address.
+/// A pool of idle connections by address.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     idle: RefCell<HashMap<String, Vec<Connection>>>,
 }
 
 impl ConnectionPool {
-    /// Takes an idle connection, or opens one.
+    /// Takes an idle connection from the pool, or opens a new one.
     ///
     /// # Errors
-    /// Says why none was made.
+    /// Fails if a new connection can't be opened.
     pub async fn acquire(&self, address: &str) -> Result<Connection, ConnectError> {
         if let Some(connection) = self.take_idle(address) {
             return Ok(connection);
@@ -125,7 +126,7 @@
         None
     }
 
-    /// Keeps a connection whose call ended with a whole answer.
+    /// Returns a connection to the pool after its response was read completely.
     pub fn release(&self, mut connection: Connection) {
         let is_unexpired = connection.expires_at.is_none_or(|at| Instant::now() < at);
         if is_unexpired && !connection.sender.is_closed() {
@@ -136,25 +137,26 @@
         }
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, same_address| {
-            same_address.retain(|it| it.expires_at.is_none_or(|at| now < at) && !it.sender.is_closed());
+            same_address
+                .retain(|it| it.expires_at.is_none_or(|at| now < at) && !it.sender.is_closed());
             !same_address.is_empty()
         });
     }
 }
 
-/// Opens a connection.
+/// Opens a connection and spawns the task that drives it.
 ///
 /// # Errors
-/// Says why none was made.
+/// Fails if the connection can't be opened.
 pub async fn connect(address: &str, limits: ConnectTimeouts) -> Result<Connection, ConnectError> {
     let (sender, driver) = jaypin_http::connect(address, limits).await?;
     spawn_local(async move {
         if let Err(error) = driver.await {
-            log::debug!(error:%; "a connection broke off");
+            log::debug!(error:%; "a connection ended with an error");
         }
     });
     Ok(Connection {
--- a/crates/jaypin_entry/src/calls/event_id.rs
+++ b/crates/jaypin_entry/src/calls/event_id.rs
@@ -1,6 +1,6 @@
-//! Ids of a stream's events.
+//! Ids of server-sent events.
 
-/// Reads the id of a whole event, where it has one that is a number.
+/// Returns the `id` field of a complete event if it is a number.
 pub fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let id = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/jaypin_entry/src/calls/mod.rs
+++ b/crates/jaypin_entry/src/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to backend servers.
+//! HTTP calls to backend servers, the store and peers.
 
 mod buffered_response;
 mod connection_pool;
@@ -15,23 +15,23 @@
 use jaypin_router::{DecisionInputs, Repeat, Requester};
 use tokio::time::Instant;
 
-/// Where and how a request is sent.
+/// Where and how a request is sent to a backend server.
 #[derive(Debug, Clone)]
 pub struct SendOrder {
-    /// The backend server.
+    /// The selected backend server.
     pub backend: BackendId,
-    /// Its address.
+    /// Address of the backend server.
     pub address: String,
-    /// Who asks; the account is named to it.
+    /// Client account and rank of the request; the account is sent to the backend server.
     pub asked_by: Requester,
-    /// Whether it may run again, and whether its answer is a stream.
+    /// Whether the request may run again, and whether its response is a stream.
     pub repeat: Repeat,
-    /// Time after which a call without a first event is given up.
+    /// Time after which a call without a first event is abandoned; `None` if it never is.
     pub first_event_timeout: Option<Duration>,
-    /// Pause between two events after which a stream is given up.
-    pub event_gap_timeout: Option<Duration>,
-    /// When the whole answer is due.
+    /// Time between two events after which a stream is abandoned; `None` if it never is.
+    pub stall_timeout: Option<Duration>,
+    /// Time at which the whole response is due.
     pub deadline: Instant,
-    /// What the choice rests on.
+    /// Inputs of the decision, for the request's log line.
     pub inputs: DecisionInputs,
 }
--- a/crates/jaypin_entry/src/host.rs
+++ b/crates/jaypin_entry/src/host.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a host share.
+//! State that is shared by all tasks of a host: the reducer, connections and per-request mailboxes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,20 +17,20 @@
 use crate::peers::PeerSocket;
 use crate::ports::{HostSettings, Object, Platform};
 
-/// What the task of a request is told to do next.
+/// The next step of a request, sent by the reducer to the task of the request.
 #[derive(Debug)]
 pub enum Directive {
-    /// Send it to a backend server.
+    /// Send the request to a backend server.
     Send(SendOrder),
-    /// Answer that the configuration does not allow it.
+    /// Respond that the configuration has no route or no such credential.
     Reject(Unrouted, DecisionInputs),
-    /// Answer with a refusal.
+    /// Respond with a refusal.
     Refuse(Refusal, Option<Requester>, DecisionInputs),
-    /// Answer with the failure that a backend server gave.
+    /// Respond with the error response that a backend server returned.
     ForwardFailure,
 }
 
-/// Where the reducer's word for one request waits for its task.
+/// Holds at most one directive of the reducer until the task of the request takes it.
 #[derive(Debug, Default)]
 pub struct Mailbox {
     directive: RefCell<Option<Directive>>,
@@ -38,7 +38,7 @@
 }
 
 impl Mailbox {
-    /// Waits for the next word.
+    /// Waits for the next directive.
     pub async fn next(&self) -> Directive {
         loop {
             if let Some(directive) = self.directive.borrow_mut().take() {
@@ -54,19 +54,19 @@
     }
 }
 
-/// One host: its reducer and everything that effects touch.
+/// One host: its reducer and the resources on which effects are carried out.
 #[derive(Debug)]
 pub struct Host {
-    /// The adapter.
+    /// The adapter to the platform.
     pub platform: Rc<dyn Platform>,
-    /// Settings at the start.
+    /// Settings as read at start.
     pub settings: HostSettings,
-    /// Connections to backend servers.
+    /// Pooled connections to backend servers.
     pub connections: ConnectionPool,
-    /// Reports to and from peers.
+    /// Socket for reports to and from peers.
     pub peers: PeerSocket,
     router: RefCell<Router>,
-    /// The configuration in use as the store has it, for peers that ask.
+    /// The store's object of the configuration in use, which is served to peers.
     configuration: RefCell<Option<Rc<Object>>>,
     mailboxes: RefCell<HashMap<RequestNumber, Rc<Mailbox>>>,
     next_number: Cell<RequestNumber>,
@@ -76,7 +76,7 @@
 }
 
 impl Host {
-    /// Puts a host together.
+    /// Creates a host without a configuration and without requests.
     pub fn new(
         platform: Rc<dyn Platform>,
         settings: HostSettings,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Gives an event to the reducer and carries out what it says.
+    /// Applies an event to the reducer and carries out the effects.
     pub fn apply(&self, event: Event) {
         let now = Instant::now().into_std();
         let effects = self.router.borrow_mut().apply(now, event);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Waits until the reducer wants to hear of time.
+    /// Waits until the reducer's next tick is due.
     pub async fn wait_for_tick(&self) {
         loop {
             let at = self.next_tick();
@@ -135,28 +135,28 @@
         self.router.borrow().next_tick(now).into()
     }
 
-    /// Keeps the configuration in use as the store has it.
+    /// Sets the store's object of the configuration in use.
     pub fn set_configuration(&self, object: Object) {
         *self.configuration.borrow_mut() = Some(Rc::new(object));
     }
 
-    /// The configuration in use as the store has it.
+    /// Returns the store's object of the configuration in use, or `None` before the first one.
     pub fn configuration(&self) -> Option<Rc<Object>> {
         self.configuration.borrow().clone()
     }
 
-    /// Looks at the decision state.
+    /// Reads the reducer's state.
     pub fn read<T>(&self, read: impl FnOnce(&Router) -> T) -> T {
         read(&self.router.borrow())
     }
 
-    /// Whether a request that was chosen for a backend server may still be sent there.
+    /// Checks whether a request that was assigned to a backend server may still be sent there.
     pub fn may_send_to(&self, backend: &str) -> bool {
         let now = Instant::now().into_std();
         self.router.borrow().still_accepts(backend, now)
     }
 
-    /// Opens the mailbox of a new request.
+    /// Assigns a number to a new request and opens its mailbox.
     pub fn open_mailbox(&self) -> (RequestNumber, Rc<Mailbox>) {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -165,7 +165,7 @@
         (number, mailbox)
     }
 
-    /// Closes the mailbox of a request that is over.
+    /// Closes the mailbox of a request that has ended.
     pub fn close_mailbox(&self, number: RequestNumber) {
         self.mailboxes.borrow_mut().remove(&number);
     }
@@ -178,43 +178,37 @@
                 address,
                 asked_by,
                 repeat,
-                first_event_timeout:
-                silence,
-                stall_timeout:
-                longest_pause,
+                first_event_timeout,
+                stall_timeout,
                 deadline,
-                inputs:
-                grounds,
+                inputs,
             } => {
                 let order = SendOrder {
                     backend,
                     address,
                     asked_by,
                     repeat,
-                    first_event_timeout:
-                    silence,
-                    event_gap_timeout:
-                    longest_pause,
+                    first_event_timeout,
+                    stall_timeout,
                     deadline: deadline.into(),
-                    inputs:
-                    grounds,
+                    inputs,
                 };
                 self.send_directive(number, Directive::Send(order));
             }
             Effect::Reject {
                 number,
                 reason,
-                inputs:
-                grounds,
-            } => self.send_directive(number, Directive::Reject(reason, grounds)),
+                inputs,
+            } => self.send_directive(number, Directive::Reject(reason, inputs)),
             Effect::Refuse {
                 number,
                 asked_by,
                 refusal,
-                inputs:
-                grounds,
-            } => self.send_directive(number, Directive::Refuse(refusal, asked_by, grounds)),
-            Effect::ForwardFailure(number) => self.send_directive(number, Directive::ForwardFailure),
+                inputs,
+            } => self.send_directive(number, Directive::Refuse(refusal, asked_by, inputs)),
+            Effect::ForwardFailure(number) => {
+                self.send_directive(number, Directive::ForwardFailure);
+            }
             Effect::WriteRollout(write) => self.queue_rollout_write(write),
             Effect::SendReport { to, report } => self.send_report(&to, &report),
         }
@@ -228,7 +222,7 @@
 
     fn queue_rollout_write(&self, write: RolloutWrite) {
         if self.rollout_writes.send(write).is_err() {
-            log::error!("the task that writes rollouts has ended");
+            log::error!("the rollout writer task has ended; a rollout state is not written");
         }
     }
 
--- a/crates/jaypin_entry/src/lib.rs
+++ b/crates/jaypin_entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! What an entry host runs, free of any platform's names.
+//! The entry host: an HTTP proxy that routes callers' requests to backend servers.
 //!
-//! One thread: a current-thread runtime with the reducer called in place. [`serve`] runs a
-//! host; how its platform spells settings, headers and objects comes from an adapter that
-//! implements [`Platform`].
+//! A host runs on one thread, in a current-thread runtime that calls the reducer directly.
+//! [`serve`] runs a host. The formats of settings, headers and stored objects are those of
+//! the platform and come from an adapter that implements [`Platform`].
 
 mod boot_clock;
 mod callers;
--- a/crates/jaypin_entry/src/logs/line.rs
+++ b/crates/jaypin_entry/src/logs/line.rs
@@ -1,4 +1,4 @@
-//! One log record as one line of JSON.
+//! Formatting of a log record as one line of JSON.
 
 use std::io::{self, Write};
 
@@ -7,10 +7,10 @@
 use log::kv::{Key, Value, VisitSource};
 use serde_json::Map;
 
-/// End of the names of fields with a time. Of these a 0 says that there is none.
+/// Suffix of the names of fields that hold a time. In these a 0 means that there is no time.
 const DURATION_SUFFIX: &str = "_ms";
 
-/// Writes `time`, `level`, `msg`, and the record's own fields.
+/// Writes `time`, `level`, `msg`, and the record's key-value pairs.
 pub fn write(buf: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     let mut fields = JsonFields(Map::new());
     let time = buf.timestamp_millis().to_string();
@@ -19,7 +19,7 @@
     fields.0.insert("level".to_owned(), level.into());
     let msg = record.args().to_string();
     fields.0.insert("msg".to_owned(), msg.into());
-    // A field that can't be read is left out; the line is worth more than the field.
+    // A field that can't be read is omitted, so that the line is still written.
     let _ = record.key_values().visit(&mut fields);
     serde_json::to_writer(&mut *buf, &fields.0)?;
     writeln!(buf)
@@ -40,8 +40,9 @@
     }
 }
 
-/// Whether a field says nothing. A refusal has neither backend server nor times of events;
-/// without these a log has a tenth fewer bytes when most requests are refused.
+/// Returns whether a field has no value and is omitted. A refusal has neither a backend server
+/// nor times of events; without these fields a log has a tenth fewer bytes when most requests are
+/// refused.
 fn is_empty(name: &str, value: &serde_json::Value) -> bool {
     let is_time = name.ends_with(DURATION_SUFFIX);
     value.as_str().is_some_and(str::is_empty) || is_time && value.as_u64() == Some(0)
--- a/crates/jaypin_entry/src/logs/mod.rs
+++ b/crates/jaypin_entry/src/logs/mod.rs
@@ -1,14 +1,14 @@
-//! Structured logs: one JSON object a line on standard output, never waited for.
+//! Structured logs: one JSON object per line on standard output, written without blocking.
 
 mod line;
 mod queue;
 
 use env_logger::{Builder, Env, Target};
 
-/// Sends logs to standard output; `RUST_LOG` filters them, `info` by default.
+/// Starts logging to standard output. `RUST_LOG` sets the filter, which is `info` by default.
 ///
 /// # Errors
-/// Gives what starting the writer's thread gave.
+/// Fails if the writer thread can't be started.
 pub fn start() -> std::io::Result<()> {
     let queue = queue::LogQueue::start(std::io::stdout())?;
     Builder::from_env(Env::default().default_filter_or("info"))
--- a/crates/jaypin_entry/src/logs/queue.rs
+++ b/crates/jaypin_entry/src/logs/queue.rs
@@ -1,4 +1,4 @@
-//! A bounded queue between those who log and the one thread that writes.
+//! A bounded queue of log lines, and the thread that writes them.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -6,27 +6,26 @@
 
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 
-/// Lines that may wait to be written: some seconds of the heaviest load.
+/// Capacity of the queue in lines: a few seconds of the heaviest load.
 const MAX_QUEUED_LINES: usize = 512;
-/// Places of these that only warnings and errors may take: ordinary lines are dropped
-/// first.
+/// Capacity that only warnings and errors may use: ordinary lines are dropped first.
 const RESERVED_FOR_WARNINGS: usize = 128;
-/// How the lines of warnings and errors begin: fields are in order of their names, so the
-/// level is looked for.
+/// Parts by which lines of warnings and errors are recognized. Fields are sorted by name, so the
+/// whole line is searched.
 const WARNING_LEVELS: [&[u8]; 2] = [b"\"level\":\"WARN\"", b"\"level\":\"ERROR\""];
 
-/// Takes lines without waiting.
+/// A writer that queues lines without blocking.
 ///
 /// Guards against a reader of standard output that stalls: writes to a full pipe block, and
-/// every request would wait for it. Lines beyond the queue are dropped and counted, and one
-/// line tells how many once there is room.
+/// every request would wait for them. Lines that exceed the queue are dropped and counted, and
+/// one line reports their number once there is room.
 #[derive(Debug)]
 pub struct LogQueue {
     lines: Sender<Vec<u8>>,
     dropped: Arc<Dropped>,
 }
 
-/// Lines dropped and not yet told, by kind.
+/// Number of lines that were dropped and not yet reported, by kind.
 #[derive(Debug, Default)]
 struct Dropped {
     ordinary: AtomicU64,
@@ -39,10 +38,10 @@
 }
 
 impl LogQueue {
-    /// Starts the thread that writes.
+    /// Starts the writer thread.
     ///
     /// # Errors
-    /// Gives what starting it gave.
+    /// Fails if the thread can't be started.
     pub fn start(out: impl Write + Send + 'static) -> io::Result<Self> {
         let (lines, queue) = bounded(MAX_QUEUED_LINES);
         let dropped = Arc::new(Dropped::default());
@@ -84,15 +83,15 @@
         let ordinary = dropped.ordinary.swap(0, Ordering::Relaxed);
         let warnings = dropped.warnings.swap(0, Ordering::Relaxed);
         if ordinary + warnings > 0 {
-            let told = writeln!(
+            let written = writeln!(
                 out,
                 "{{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"ordinary\":{ordinary},\"warnings\":{warnings}}}"
             );
-            if told.is_err() {
+            if written.is_err() {
                 return;
             }
         }
-        // Nobody reads any more, so nobody can be told.
+        // The reader has closed the pipe, so nothing can be logged any more.
         if out.write_all(&line).is_err() {
             return;
         }
--- a/crates/jaypin_entry/src/metrics.rs
+++ b/crates/jaypin_entry/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Counts and times for scraping, in the names and units of OpenTelemetry.
+//! Metrics in the Prometheus text format, with names and units of OpenTelemetry.
 //!
-//! No label names a client account, a request or a credential: the number of series must
-//! not grow with those.
+//! No label holds a client account, a request or a credential: the number of time series must
+//! not grow with them.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -12,8 +12,9 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Bounds of times to a first event and to a whole answer, in seconds: around the aims of
-/// 0.1, 0.5 and 1 second, and up to the longest deadline.
+/// Histogram bounds in seconds, for the time to a first event, the time to a whole response and
+/// the longest pause of a stream: around the latency targets of 0.1, 0.5 and 1 second, and up
+/// to the longest deadline.
 const TIME_BUCKETS_S: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.75, 1.0, 2.0, 5.0, 15.0,
 ];
@@ -37,15 +38,15 @@
     limited_backends: Gauge<u64>,
     version: Gauge<u64>,
     ready: Gauge<u64>,
-    // Kept because its end would end the instruments.
+    // Dropping the provider would stop the instruments.
     _provider: SdkMeterProvider,
 }
 
-/// Starts counting. A host that nobody scrapes counts nothing and keeps nothing: its memory
-/// has a price.
+/// Starts recording metrics. Without this call nothing is recorded, which saves the memory of
+/// the instruments on hosts that are not scraped.
 ///
 /// # Errors
-/// Says what the library can't set up.
+/// Fails if the exporter can't be set up.
 pub fn start() -> Result<(), String> {
     let registry = Registry::new();
     let exporter = opentelemetry_prometheus::exporter()
@@ -75,12 +76,12 @@
         registry,
         _provider: provider,
     };
-    // A second start would be a mistake of the program; the first one counts on.
+    // A second call has no effect: the first instruments stay in use.
     let _ = INSTRUMENTS.set(instruments);
     Ok(())
 }
 
-/// Counts the end of a request, by its outcome.
+/// Records the end of a request: its outcome and duration.
 pub fn request(outcome: &'static str, after: Duration) {
     if let Some(all) = INSTRUMENTS.get() {
         let labels = [KeyValue::new("outcome", outcome)];
@@ -89,14 +90,14 @@
     }
 }
 
-/// Counts the end of a call to a backend server, by its outcome.
+/// Counts a call to a backend server by its outcome.
 pub fn call(outcome: &'static str) {
     if let Some(all) = INSTRUMENTS.get() {
         all.calls.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 }
 
-/// Takes the times of a stream: to its first event, and the longest between two.
+/// Records the times of a stream: to its first event, and the longest between two events.
 pub fn stream(first: Duration, pause: Duration) {
     if let Some(all) = INSTRUMENTS.get() {
         all.first_event.record(first.as_secs_f64(), &[]);
@@ -104,7 +105,7 @@
     }
 }
 
-/// Counts a call to the platform's store.
+/// Counts a call to the platform's store by its kind, `read` or `write`, and its outcome.
 pub fn store_call(kind: &'static str, outcome: &'static str) {
     if let Some(all) = INSTRUMENTS.get() {
         let labels = [
@@ -115,7 +116,7 @@
     }
 }
 
-/// Gives everything in the text format of Prometheus; nothing when nobody counts.
+/// Returns all metrics in the text format of Prometheus, or `None` if [`start`] was not called.
 pub fn render(counts: RouterCounts, is_ready: bool) -> Option<String> {
     let all = INSTRUMENTS.get()?;
     let wide = |count: usize| u64::try_from(count).unwrap_or(u64::MAX);
@@ -129,7 +130,7 @@
     all.ready.record(u64::from(is_ready), &[]);
     let mut buf = Vec::new();
     if let Err(error) = TextEncoder::new().encode(&all.registry.gather(), &mut buf) {
-        log::error!(error:%; "can't write the metrics");
+        log::error!(error:%; "encoding the metrics failed; the response is incomplete");
     }
     Some(String::from_utf8_lossy(&buf).into_owned())
 }
--- a/crates/jaypin_entry/src/peers/mod.rs
+++ b/crates/jaypin_entry/src/peers/mod.rs
@@ -1,7 +1,7 @@
-//! What hosts tell and ask each other.
+//! Communication between hosts: reports as datagrams, and snapshots over connections.
 //!
-//! Reports are datagrams, since one that is late is worth nothing: the next one says more. A
-//! connection would hold reports back behind a lost one.
+//! Reports are datagrams because a late report is worthless: the next one replaces it. A
+//! connection would delay reports behind a lost one.
 
 mod live_peers;
 mod snapshot;
@@ -23,50 +23,50 @@
 use crate::boot_clock::boot_time;
 use crate::host::Host;
 
-/// Largest datagram: the load of 600 backend servers takes 10 KB.
+/// Size of the receive buffer. The load of 600 backend servers takes 10 KB of a report.
 const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// Where reports come and go.
+/// UDP socket on which reports are sent and received.
 #[derive(Debug)]
 pub struct PeerSocket {
     socket: UdpSocket,
 }
 
 impl PeerSocket {
-    /// Opens it.
+    /// Binds the socket.
     ///
     /// # Errors
-    /// Gives what the system gave.
+    /// Fails if the address can't be bound.
     pub async fn open(address: SocketAddr) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(address).await?;
         Ok(Self { socket })
     }
 
-    /// Tells a report; what can't be sent now is not sent.
+    /// Sends a report to each address. A datagram that can't be sent at once is dropped.
     pub fn send(&self, to: &[SocketAddr], report: &Report) {
         let bytes = match encode_report(report) {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!(error:%; "a report can't be encoded");
+                log::error!(error:%; "encoding a report failed; it is not sent");
                 return;
             }
         };
         for address in to {
             if let Err(error) = self.socket.try_send_to(&bytes, *address) {
-                log::debug!(peer:% = address, error:%; "a report was not sent");
+                log::debug!(peer:% = address, error:%; "sending a report to a peer failed; it is dropped");
             }
         }
     }
 }
 
-/// Takes peers' reports until the task is dropped.
+/// Receives peers' reports and applies them until the task is dropped.
 pub async fn receive_reports(host: Rc<Host>) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match host.peers.socket.recv_from(&mut buf).await {
             Ok(received) => received,
             Err(error) => {
-                log::debug!(error:%; "a report was not received");
+                log::debug!(error:%; "receiving a report failed");
                 continue;
             }
         };
@@ -75,7 +75,7 @@
                 let (report, boot_time) = (Box::new(report), boot_time());
                 host.apply(Event::ReportReceived { report, boot_time });
             }
-            Err(error) => log::warn!(peer:% = from, error:%; "a report makes no sense"),
+            Err(error) => log::warn!(peer:% = from, error:%; "invalid report from a peer; ignored"),
         }
     }
 }
--- a/crates/jaypin_entry/src/peers/wire/configuration.rs
+++ b/crates/jaypin_entry/src/peers/wire/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration as bytes, as hosts hand it over.
+//! Wire format of configuration snapshots.
 
 use std::time::Duration;
 
@@ -6,39 +6,40 @@
 use super::{WireError, decode, encode, milliseconds};
 use crate::ports::Object;
 
-/// Name, point, and what the author wrote.
+/// Name, point and content.
 type WireObject = (String, WirePoint, serde_json::Value);
-/// Version, milliseconds since it was the newest, and the object if it was asked for.
+/// Version, milliseconds since it was known to be the newest, and the object unless the
+/// requesting host has it.
 type WireSnapshot = (u64, Option<u64>, Option<WireObject>);
 
-/// A configuration as hosts hand it over.
+/// A configuration as one host sends it to another.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigurationSnapshot {
-    /// Its version.
+    /// Version of the configuration; 0 before any.
     pub version: u64,
-    /// Time since it was the newest for sure, where it ever was.
+    /// Time since the version was known to be the newest; `None` if it never was.
     pub proof_age: Option<Duration>,
-    /// The store's object, unless the asking host has this version.
+    /// The store's object, unless the requesting host has this version.
     pub object: Option<Object>,
 }
 
-/// Writes a configuration.
+/// Encodes a configuration snapshot.
 ///
 /// # Errors
-/// Gives what the library gives.
+/// Fails if the CBOR library does.
 pub fn encode_configuration(snapshot: &ConfigurationSnapshot) -> Result<Vec<u8>, WireError> {
     let object = snapshot.object.as_ref();
     let object = object.map(|it| (it.name.clone(), wire_point(it.point), it.content.clone()));
-    // Rounded up: a proof must not grow younger on its way.
+    // The age is rounded up, so that a proof never becomes younger in transit.
     let age = snapshot.proof_age.map(|age| milliseconds(age) + 1);
     let wire: WireSnapshot = (snapshot.version, age, object);
     encode(&wire)
 }
 
-/// Reads a configuration.
+/// Decodes a configuration snapshot.
 ///
 /// # Errors
-/// Says why the bytes are none.
+/// Fails if the bytes are not a configuration snapshot.
 pub fn decode_configuration(bytes: &[u8]) -> Result<ConfigurationSnapshot, WireError> {
     let (version, age, object): WireSnapshot = decode(bytes)?;
     let object = object.map(|(name, point, content)| Object {
--- a/crates/jaypin_entry/src/peers/wire/entries.rs
+++ b/crates/jaypin_entry/src/peers/wire/entries.rs
@@ -1,31 +1,31 @@
-//! Entries of backend servers as bytes.
+//! Wire format of backend server entries.
 
 use jaypin_core::{BackendId, FailureDomain, ServiceId};
 use jaypin_router::{BackendRecord, BackendStatus, EntryChange, SoftwareVersion, StorePoint};
 
 use super::{WireError, decode, encode};
 
-/// Start, service, address, failure domain, slots, whether it is ready, version.
+/// Start time, service, address, failure domain, slots, whether it is ready, version.
 type WireRecord = (u64, String, String, String, u32, bool, String);
 
 /// Era and revision.
 pub type WirePoint = (u64, u64);
-/// A change of an entry: its id, point, and statement if it is not gone.
+/// Change of an entry: id, point, and the record unless the entry was removed.
 pub type WireChange = (String, WirePoint, Option<WireRecord>);
 
-/// Writes entries of backend servers.
+/// Encodes entries of backend servers.
 ///
 /// # Errors
-/// Gives what the library gives.
+/// Fails if the CBOR library does.
 pub fn encode_entries(entries: &[EntryChange]) -> Result<Vec<u8>, WireError> {
     let wire: Vec<WireChange> = entries.iter().map(wire_change).collect();
     encode(&wire)
 }
 
-/// Reads entries of backend servers.
+/// Decodes entries of backend servers.
 ///
 /// # Errors
-/// Says why the bytes are none.
+/// Fails if the bytes are not a list of entries.
 pub fn decode_entries(bytes: &[u8]) -> Result<Vec<EntryChange>, WireError> {
     let wire: Vec<WireChange> = decode(bytes)?;
     Ok(wire.into_iter().map(read_change).collect())
@@ -57,9 +57,9 @@
     }
 }
 
-pub fn read_change((id, point, statement): WireChange) -> EntryChange {
+pub fn read_change((id, point, record_fields): WireChange) -> EntryChange {
     let point = read_point(point);
-    let Some((started, service, address, failure_domain, slots, is_ready, version)) = statement
+    let Some((started, service, address, failure_domain, slots, is_ready, version)) = record_fields
     else {
         let id = BackendId::from(id);
         return EntryChange::Removed { id, point };
--- a/crates/jaypin_entry/src/peers/wire/mod.rs
+++ b/crates/jaypin_entry/src/peers/wire/mod.rs
@@ -1,12 +1,10 @@
-//! Reports as bytes: CBOR arrays, so that no field name travels.
+//! Wire format of reports and snapshots: CBOR arrays, which contain no field names.
 
 mod configuration;
-
 mod entries;
 mod rollout;
 
 pub use configuration::{ConfigurationSnapshot, decode_configuration, encode_configuration};
-
 pub use entries::{decode_entries, encode_entries};
 
 use std::net::SocketAddr;
@@ -14,8 +12,8 @@
 
 use jaypin_core::{AccountId, FailureDomain, HostId};
 use jaypin_router::{
-    ArrivalCount, BackendLoad, BackendSamples, BackendSignals, Rank, Report, SignalReport, StoreView,
-    Strike, WholeReport,
+    ArrivalCount, BackendLoad, BackendSamples, BackendSignals, Rank, Report, SignalReport,
+    StoreView, Strike, WholeReport,
 };
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -24,54 +22,59 @@
 use entries::{WireChange, read_change, wire_change};
 use rollout::{WireRollout, read_rollout, wire_rollout};
 
-/// Why bytes are no report, or a report no bytes.
+/// Error of encoding or decoding a report or a snapshot.
 #[derive(Debug, Snafu)]
 pub enum WireError {
-    /// A report can't be written.
+    /// The value could not be encoded.
     #[snafu(display("can't encode: {message}"))]
     Encode {
-        /// What the library says.
+        /// Message of the CBOR library.
         message: String,
     },
-    /// Bytes that are no report.
+    /// The bytes are not a value of the expected type.
     #[snafu(display("can't decode: {message}"))]
     Decode {
-        /// What the library says.
+        /// Message of the CBOR library.
         message: String,
     },
-    /// An address that is none.
-    #[snafu(display("no address: {source}"))]
+    /// A field that should be a socket address is not one.
+    #[snafu(display("expected a socket address in a report: {source}"))]
     Address {
-        /// What the parser says.
+        /// Error of the address parser.
         source: std::net::AddrParseError,
     },
-    /// A number that is none, which would spoil every sum that it enters.
-    #[snafu(display("a number that is not finite or below 0"))]
+    /// A number is not finite, or negative where it must not be. It would corrupt every sum
+    /// that it is added to.
+    #[snafu(display(
+        "a number in a report is not finite, or negative where at least 0 is expected"
+    ))]
     Number,
-    /// A state of an order that is none.
-    #[snafu(display("no state of a rollout: {state}"))]
+    /// The state of a rollout order is unknown.
+    #[snafu(display("expected a rollout state from 0 to 4, found {state}"))]
     State {
-        /// What stands in its place.
+        /// The number found in its place.
         state: u8,
     },
 }
 
-/// Key, running requests, unread tokens.
+/// Key of the backend server, running requests, prompt tokens not yet processed.
 type WireLoad = (u32, u32, u32);
-/// Key; tokens and seconds of prompts, held seconds, events and their seconds; good and bad calls.
+/// Key of the backend server; prompt tokens, prefill seconds, slot hold seconds, events and their
+/// seconds; good and bad calls.
 type WireSamples = (u32, [f64; 5], u32, u32);
 
-/// Key, start of its process, limit of requests a second, whether it leaves, age in
-/// milliseconds.
+/// Key of the backend server, start time of its process, rate limit in requests per second,
+/// whether it is leaving, age in milliseconds.
 type WireSignals = (u32, u64, Option<f64>, bool, u64);
 
-/// Service's key, rank of account and of route, requests.
+/// Key of the service, rank of the account and of the route, requests.
 type WireArrivals = (u32, u8, u8, u32);
-/// Name, reports' address, callers' address, failure domain, cell.
+/// Host name, address for reports, address for callers, failure domain, cell.
 type WireSender = (String, String, String, String, u32);
-/// Version, proved at and sent at in milliseconds, may watch, watches, digest, era.
+/// Configuration version, time of its proof and time of sending in milliseconds, may watch, is
+/// watching, digest of the entries, era.
 type WireView = (u64, Option<u64>, u64, bool, bool, u64, Option<u64>);
-/// A report as it travels, field by field in this order.
+/// A report as encoded, with the fields of [`Report`] in this order.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireReport(
     u32,
@@ -86,7 +89,7 @@
     Option<WireWhole>,
 );
 
-/// The rest of a whole report.
+/// The part that only whole reports have.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireWhole(
     WireSender,
@@ -98,18 +101,18 @@
     Vec<WireRollout>,
 );
 
-/// Writes a report.
+/// Encodes a report.
 ///
 /// # Errors
-/// Gives what the library gives.
+/// Fails if the CBOR library does.
 pub fn encode_report(report: &Report) -> Result<Vec<u8>, WireError> {
     encode(&WireReport::from(report))
 }
 
-/// Reads a report.
+/// Decodes a report.
 ///
 /// # Errors
-/// Says why the bytes are none.
+/// Fails if the bytes are not a report, or if an address or a number in it is invalid.
 pub fn decode_report(bytes: &[u8]) -> Result<Report, WireError> {
     let wire: WireReport = decode(bytes)?;
     Report::try_from(wire)
@@ -167,13 +170,15 @@
             view.digest,
             view.era,
         );
-        let strikes = whole.crash_counts.iter();
+        let crash_counts = whole.crash_counts.iter();
         let callers = whole.cell_callers.as_ref();
         Self(
             sender,
             wire_view,
             whole.low_levels.iter().map(wire_units).collect(),
-            strikes.map(|it| (it.fingerprint, it.crash_count)).collect(),
+            crash_counts
+                .map(|it| (it.fingerprint, it.crash_count))
+                .collect(),
             callers.map(|it| it.iter().map(ToString::to_string).collect()),
             whole.asked.iter().map(wire_arrivals).collect(),
             whole.rollouts.iter().map(wire_rollout).collect(),
@@ -223,15 +228,16 @@
     type Error = WireError;
 
     fn try_from(wire: WireWhole) -> Result<Self, WireError> {
-        let WireWhole(sender, view, low_levels, strikes, cell_callers, asked, rollouts) = wire;
+        let WireWhole(sender, view, low_levels, crash_counts, cell_callers, arrivals, rollouts) =
+            wire;
         let (host, address, callers, failure_domain, cell) = sender;
         let (version, proved_at, sent_at, may_watch, is_watching, digest, era) = view;
-        // A level below 0 is a debt.
+        // A negative level is a debt, and valid.
         let are_levels_valid = low_levels.iter().all(|(_, level)| level.is_finite());
         if !are_levels_valid {
             return Err(WireError::Number);
         }
-        let strikes = strikes.into_iter();
+        let crash_counts = crash_counts.into_iter();
         let cell_callers = cell_callers.map(|it| it.iter().map(|it| read_address(it)).collect());
         Ok(Self {
             host: HostId::from(host),
@@ -249,16 +255,15 @@
                 era,
             },
             low_levels: low_levels.into_iter().map(read_units).collect(),
-            asked: asked.into_iter().map(read_arrivals).collect(),
+            asked: arrivals.into_iter().map(read_arrivals).collect(),
             rollouts: rollouts
                 .into_iter()
                 .map(read_rollout)
                 .collect::<Result<_, _>>()?,
-            crash_counts: strikes
-                .map(|(fingerprint, strikes)| Strike {
+            crash_counts: crash_counts
+                .map(|(fingerprint, crash_count)| Strike {
                     fingerprint,
-                    crash_count:
-                    strikes,
+                    crash_count,
                 })
                 .collect(),
             cell_callers: cell_callers.transpose()?,
@@ -282,9 +287,14 @@
     (AccountId::from(account), units)
 }
 
-fn wire_arrivals(asked: &ArrivalCount) -> WireArrivals {
-    let rank = asked.rank;
-    (asked.service, rank.account, rank.route, asked.requests)
+fn wire_arrivals(arrivals: &ArrivalCount) -> WireArrivals {
+    let rank = arrivals.rank;
+    (
+        arrivals.service,
+        rank.account,
+        rank.route,
+        arrivals.requests,
+    )
 }
 
 fn read_arrivals((service, account, route, requests): WireArrivals) -> ArrivalCount {
@@ -301,7 +311,13 @@
 }
 
 fn wire_samples(it: &BackendSamples) -> WireSamples {
-    let sums = [it.tokens, it.seconds, it.hold_seconds, it.events, it.event_seconds,];
+    let sums = [
+        it.tokens,
+        it.seconds,
+        it.hold_seconds,
+        it.events,
+        it.event_seconds,
+    ];
     (it.key, sums, it.good, it.bad)
 }
 
@@ -339,13 +355,12 @@
 }
 
 fn read_samples((key, sums, good, bad): WireSamples) -> BackendSamples {
-    let [tokens, seconds, held, events, event_seconds] = sums;
+    let [tokens, seconds, hold_seconds, events, event_seconds] = sums;
     BackendSamples {
         key,
         tokens,
         seconds,
-        hold_seconds:
-        held,
+        hold_seconds,
         events,
         event_seconds,
         good,
--- a/crates/jaypin_entry/src/peers/wire/rollout.rs
+++ b/crates/jaypin_entry/src/peers/wire/rollout.rs
@@ -1,4 +1,4 @@
-//! Orders for new versions, with what became of requests, as bytes.
+//! Wire format of rollout orders and request outcomes per version.
 
 use std::time::Duration;
 
@@ -11,11 +11,12 @@
 use super::entries::{WirePoint, read_point, wire_point};
 use super::{WireError, milliseconds};
 
-/// Service, version, time in milliseconds, point, state.
+/// Service, new version, rollout time in milliseconds, point, state.
 type WireOrder = (String, String, u64, WirePoint, u8);
-/// Route's key; good, slow and bad answers of the old and of the new version.
+/// Key of the route; counts of good, slow and bad responses of the old and the new version.
 type WireOutcomes = (u32, [u32; 6]);
-/// Order, age in milliseconds, whether the version is bad, whether its end was lost, answers.
+/// Order, age in milliseconds, whether the version is bad, whether its end was lost, counts of
+/// responses.
 pub type WireRollout = (WireOrder, u64, bool, bool, Vec<WireOutcomes>);
 
 pub fn wire_rollout(rollout: &RolloutReport) -> WireRollout {
--- a/crates/jaypin_entry/src/ports.rs
+++ b/crates/jaypin_entry/src/ports.rs
@@ -1,4 +1,4 @@
-//! What an adapter to a platform translates; decisions, state and timers stay here.
+//! The interface to a platform: an adapter translates formats, and has neither state nor timers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,19 +12,20 @@
 use serde_json::Value;
 use snafu::Snafu;
 
-/// What could not be decoded, in words for logs and callers.
+/// Error of decoding, whose message is logged or sent to the caller.
 #[derive(Debug, Snafu)]
 #[snafu(display("{message}"))]
 pub struct DecodeError {
-    /// What is wrong.
+    /// What was expected and what was found.
     pub message: String,
 }
 
 impl DecodeError {
-    /// Says what is wrong.
+    /// Creates an error with a message.
     pub fn new(message: impl Into<String>) -> Self {
         Self {
-            message: message.into(), }
+            message: message.into(),
+        }
     }
 }
 
@@ -33,241 +34,248 @@
 pub struct HostSettings {
     /// Name of the host.
     pub host: HostId,
-    /// Failure domain it stands in.
+    /// Failure domain of the host.
     pub failure_domain: FailureDomain,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub caller_address: SocketAddr,
-    /// Where the platform asks whether the host is ready.
+    /// Address of the readiness check.
     pub readiness_address: SocketAddr,
-    /// Where callers ask which addresses to use.
+    /// Address at which callers query the addresses of hosts.
     pub directory_address: SocketAddr,
-    /// Where operators and scrapers connect.
+    /// Address for operators and metrics scrapers, if the settings name one.
     pub operator_address: Option<SocketAddr>,
-    /// Where peers send their reports.
+    /// Address at which reports and snapshot queries of peers are received.
     pub peer_address: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// Descriptors that the process may have open.
+    /// Most file descriptors that the process may have open.
     pub max_open_files: u64,
-    /// How long an entry answer may hold at most.
+    /// Longest lifetime of a list of addresses that callers receive.
     pub max_address_list_ttl: Duration,
-    /// Bounds that hold for the fleet.
+    /// Bounds that the whole fleet has to meet.
     pub bounds: Bounds,
 }
 
-/// A kind of object in the platform's store.
+/// A collection of objects in the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Collection {
-    /// What operators configure; one object.
+    /// The configuration, written by operators; one object.
     Configuration,
-    /// Backend servers, each registered by itself.
+    /// Registrations of backend servers, each written by its backend server.
     Backends,
-    /// Hosts of this fleet, each registered by itself.
+    /// Registrations of the hosts of this fleet, each written by its host.
     Hosts,
-    /// Orders for new versions, one object a service.
+    /// Rollout orders, one object per service.
     Rollouts,
 }
 
-/// How new an answer of the store has to be.
+/// Required freshness of a read from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// As of the moment at which it was asked.
+    /// The response reflects all writes before the read.
     Newest,
-    /// It may be seconds old, and costs the store less.
+    /// The response may be seconds old, which costs the store less.
     AllowStale,
 }
 
-/// An object of the store.
+/// An object in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Object {
-    /// Its name within its kind.
+    /// Name, unique within its collection.
     pub name: String,
-    /// Of its last change, in the store's history.
+    /// Position of the object's last change in the store's history.
     pub point: StorePoint,
-    /// What its author wrote.
+    /// Content, written by the object's author.
     pub content: Value,
-    /// What the fleet wrote of it.
+    /// Status, written by the fleet.
     pub status: Value,
 }
 
 /// A page of a listing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObjectPage {
-    /// The objects.
+    /// Objects of the page.
     pub objects: Vec<Object>,
-    /// Whether there are more behind the last one.
+    /// Whether further objects follow the last one.
     pub has_more: bool,
-    /// When they were so, in the store's history.
+    /// Position in the store's history at which the page was read.
     pub point: StorePoint,
 }
 
 /// A change of an object.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObjectChange {
-    /// The object as it is now, or was last.
+    /// The object after the change, or before it if it was removed.
     pub object: Object,
-    /// Whether it was removed.
+    /// Whether the object was removed.
     pub is_removed: bool,
 }
 
-/// What changed since a revision.
+/// Changes of a collection since a revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObjectChanges {
-    /// The changes, in order.
+    /// Changes in the order of the store's history.
     pub changes: Vec<ObjectChange>,
-    /// The point up to which they are told.
+    /// Position in the store's history up to which the changes are complete.
     pub point: StorePoint,
 }
 
-/// A host of this fleet, as it registers itself.
+/// Registration of a host of this fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostRecord {
     /// Name of the host.
     pub host: HostId,
-    /// Where it takes reports.
+    /// Address at which the host receives reports.
     pub peer_address: SocketAddr,
 }
 
-/// What a caller's header says besides method and path.
+/// Values of a caller's request headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerRequest {
-    /// The caller's id of this try.
+    /// The caller's id of this attempt.
     pub id: String,
-    /// Host name that it asks for.
+    /// Requested host name, without a port.
     pub host: String,
-    /// Its credential.
+    /// Credential of the client account.
     pub credential: Option<String>,
-    /// How long it waits.
+    /// Time for which the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// Tokens of the prompt and most tokens of the answer.
+    /// Number of prompt tokens, and largest number of answer tokens.
     pub tokens: Option<(u32, u32)>,
-    /// Tokens of the answer, as the caller expects them.
+    /// Number of answer tokens that the caller expects.
     pub expected_answer_tokens: Option<u32>,
 }
 
-/// What a backend server is told besides the caller's own header.
+/// Values that are sent to a backend server in addition to the caller's headers.
 #[derive(Debug, Clone)]
 pub struct ForwardContext<'a> {
-    /// The backend server that is meant.
+    /// Backend server that the request is addressed to.
     pub backend: &'a BackendId,
-    /// The caller's account.
+    /// Client account of the caller.
     pub account: Option<&'a AccountId>,
-    /// Time that is left for the answer.
+    /// Time that is left for the response.
     pub time_left: Duration,
 }
 
-/// What the header of a backend server's answer says.
+/// Values of a backend server's response head.
 #[derive(Debug)]
 pub struct BackendResponse {
-    /// The id of the try that it answers, where it says so.
+    /// Id of the attempt that the response belongs to, if it is stated.
     pub id: Option<String>,
-    /// Whether it bears a backend server's mark.
+    /// Whether the response has the header that only backend servers add.
     pub is_from_backend: bool,
-    /// Whether it states that the request was not run.
+    /// Whether the response states that the request was not run.
     pub is_not_run: bool,
-    /// Whether another backend server has the address.
+    /// Whether another backend server now has the address.
     pub is_misdirected: bool,
-    /// Requests a second that it takes from all hosts together, where it says so.
+    /// Requests per second that the backend server accepts from all hosts together, if stated.
     pub rate_limit: Result<Option<f64>, DecodeError>,
-    /// Whether the backend server takes new requests, by its own word.
+    /// Whether the backend server states that it accepts new requests.
     pub status: BackendStatus,
-    /// Time for which it wants nothing from this host, where it turned the request away and
-    /// says so.
+    /// Time for which the backend server asks this host to send nothing, if it rejected the
+    /// request and states one.
     pub backoff: Result<Option<Duration>, DecodeError>,
 }
 
-/// An adapter to a platform: translation and nothing else.
+/// An adapter to a platform. Its methods only translate formats.
 pub trait Platform: std::fmt::Debug {
-    /// Reads the settings of a host.
+    /// Parses the settings of a host.
     ///
     /// # Errors
-    /// Names everything that is missing or wrong.
+    /// Fails if a setting is missing or invalid; the error names it.
     fn parse_settings(&self, text: &str) -> Result<HostSettings, DecodeError>;
 
-    /// Whether a request asks if the host is ready.
+    /// Returns whether a request is a readiness check.
     fn is_readiness_check(&self, method: &Method, uri: &Uri) -> bool;
 
-    /// Whether a request asks which addresses to use.
+    /// Returns whether a request is a query for the addresses that callers may connect to.
     fn is_address_query(&self, method: &Method, uri: &Uri) -> bool;
 
-    /// The answer to that question.
+    /// Returns the response body of an address query: the addresses and their lifetime.
     fn address_list_body(&self, addresses: &[SocketAddr], valid_for: Duration) -> Bytes;
 
-    /// Reads a caller's header.
+    /// Parses the headers of a caller's request.
     ///
     /// # Errors
-    /// Says which header makes no sense.
+    /// Fails if a header is missing or invalid; the error names it.
     fn parse_caller_request(&self, headers: &HeaderMap) -> Result<CallerRequest, DecodeError>;
 
-    /// The header for a backend server, from the caller's own.
+    /// Returns the headers for a backend server, derived from the caller's headers.
     fn forwarded_headers(&self, headers: &HeaderMap, forward: &ForwardContext<'_>) -> HeaderMap;
 
-    /// Reads the header of a backend server's answer.
+    /// Parses the head of a backend server's response.
     fn parse_backend_response(&self, status: StatusCode, headers: &HeaderMap) -> BackendResponse;
 
-    /// Path that lists a kind, from behind a name on.
-    fn list_path(&self, kind: Collection, after: Option<&str>, freshness: Freshness) -> String;
+    /// Returns the path that lists a collection, starting after a name.
+    fn list_path(
+        &self,
+        collection: Collection,
+        after: Option<&str>,
+        freshness: Freshness,
+    ) -> String;
 
-    /// Path that waits for changes of a kind since a revision.
-    fn watch_path(&self, kind: Collection, since: u64, wait: Duration) -> String;
+    /// Returns the path that waits for changes of a collection since a revision.
+    fn watch_path(&self, collection: Collection, since: u64, wait: Duration) -> String;
 
-    /// Path of one object.
-    fn object_path(&self, kind: Collection, name: &str) -> String;
+    /// Returns the path of one object.
+    fn object_path(&self, collection: Collection, name: &str) -> String;
 
-    /// Path of what the fleet says of one object.
-    fn status_path(&self, kind: Collection, name: &str) -> String;
+    /// Returns the path of the status of one object.
+    fn status_path(&self, collection: Collection, name: &str) -> String;
 
-    /// Reads the store's era off the header of one of its answers; nothing where it states none.
+    /// Parses the store's era from the headers of a response. Returns `None` if it is absent.
     ///
     /// # Errors
-    /// Says why it is no era.
+    /// Fails if the header is not an era.
     fn parse_store_era(&self, headers: &HeaderMap) -> Result<Option<StoreEra>, DecodeError>;
 
-    /// Reads one object.
+    /// Parses one object.
     ///
     /// # Errors
-    /// Says what makes no sense.
+    /// Fails if the body is not an object.
     fn parse_object(&self, body: &[u8], era: StoreEra) -> Result<Object, DecodeError>;
 
-    /// Reads a page of a listing.
+    /// Parses a page of a listing.
     ///
     /// # Errors
-    /// Says what makes no sense.
+    /// Fails if the body is not a page.
     fn parse_page(&self, body: &[u8], era: StoreEra) -> Result<ObjectPage, DecodeError>;
 
-    /// Reads the answer of a watch.
+    /// Parses the response to a watch.
     ///
     /// # Errors
-    /// Says what makes no sense.
+    /// Fails if the body is not a list of changes.
     fn parse_changes(&self, body: &[u8], era: StoreEra) -> Result<ObjectChanges, DecodeError>;
 
-    /// Reads a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
-    /// Says what makes no sense.
+    /// Fails if the object is not a valid configuration.
     fn parse_configuration(&self, object: &Object) -> Result<Configuration, DecodeError>;
 
-    /// Reads what a backend server states of itself.
+    /// Parses a backend server's registration.
     ///
     /// # Errors
-    /// Says what makes no sense.
+    /// Fails if the object is not a valid registration.
     fn parse_backend(&self, object: &Object) -> Result<BackendRecord, DecodeError>;
 
-    /// Reads an order for a new version.
+    /// Parses a rollout order.
     ///
     /// # Errors
-    /// Says what makes no sense.
+    /// Fails if the object is not a valid order.
     fn parse_rollout(&self, object: &Object) -> Result<RolloutOrder, DecodeError>;
 
-    /// The body that writes the state of an order, if the store still has its revision.
+    /// Returns the body of a write of an order's state, on the condition that the store still
+    /// has the order's revision.
     fn rollout_status_body(&self, order: &RolloutOrder) -> Bytes;
 
-    /// Reads a host's registration.
+    /// Parses a host's registration.
     ///
     /// # Errors
-    /// Says what makes no sense.
+    /// Fails if the object is not a valid registration.
     fn parse_host(&self, object: &Object) -> Result<HostRecord, DecodeError>;
 
-    /// The body that creates a host's registration, or replaces the one of a revision.
+    /// Returns the body of a write that creates a host's registration, or that replaces the
+    /// registration with the given revision.
     fn host_body(&self, record: &HostRecord, replaces: Option<u64>) -> Bytes;
 }
--- a/crates/jaypin_entry/src/serve.rs
+++ b/crates/jaypin_entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! Puts an entry host together and runs it until it is told to leave.
+//! Starts an entry host and runs it until it receives SIGTERM and has drained.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -23,31 +23,31 @@
     follow_backends, follow_configuration, follow_rollouts, join_fleet, write_rollouts,
 };
 
-/// Pause between two looks at idle connections.
+/// Time between two sweeps of idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for which a leaving host stays though it is idle: callers that have not heard of
-/// it get an answer instead of a refused connection.
+/// Shortest time that a drain takes, also without requests: callers that do not know yet that
+/// the host drains get a response instead of a refused connection.
 const MIN_DRAIN_TIME: Duration = Duration::from_secs(3);
-/// Pause between two looks at whether everything has ended.
+/// Time between two checks whether all requests have ended.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Part of the grace after which the host leaves with requests unfinished.
+/// Fraction of the grace period after which the host exits with requests unfinished.
 const GRACE_FRACTION: f64 = 0.96;
-/// Descriptors that are left to files.
+/// Least number of file descriptors that is requested from the system: those that files need.
 const MIN_OPEN_FILES: u64 = 16;
 
-/// What the command line says of a host.
+/// Command line options of a host.
 #[derive(Debug, Clone)]
 pub struct ServeOptions {
-    /// The platform's settings file.
+    /// Path of the platform's settings file.
     pub settings: PathBuf,
-    /// Port on which metrics are scraped; without one nothing is counted.
+    /// Port on which metrics are served; without one no metrics are recorded.
     pub metrics_port: Option<u16>,
 }
 
-/// Runs a host to its end.
+/// Runs a host until it has drained.
 ///
 /// # Errors
-/// Says what keeps it from starting.
+/// Fails if the settings are invalid or an address can't be opened.
 pub fn serve(platform: Rc<dyn Platform>, options: &ServeOptions) -> Result<(), String> {
     let name = options.settings.display();
     let text =
@@ -56,7 +56,7 @@
     let settings = settings.map_err(|error| format!("{name}: {error}"))?;
     let limit = settings.max_open_files.max(MIN_OPEN_FILES);
     if let Err(error) = rlimit::increase_nofile_limit(limit) {
-        log::warn!(error:%; "can't raise the limit of open files");
+        log::warn!(error:%; "raising the limit of open files failed; continuing with the current one");
     }
     let runtime = Builder::new_current_thread()
         .enable_all()
@@ -70,14 +70,31 @@
     settings: HostSettings,
     metrics_port: Option<u16>,
 ) -> Result<(), String> {
-    let callers = open("callers", listen(settings.caller_address), settings.caller_address,)?;
-    let readiness = open("readiness", listen(settings.readiness_address), settings.readiness_address,)?;
-    let directory = open("directory", listen(settings.directory_address), settings.directory_address,)?;
-    let metrics_listener = metrics_port.map(|port| SocketAddr::new(settings.caller_address.ip(), port));
+    let callers = open(
+        "callers",
+        listen(settings.caller_address),
+        settings.caller_address,
+    )?;
+    let readiness = open(
+        "readiness",
+        listen(settings.readiness_address),
+        settings.readiness_address,
+    )?;
+    let directory = open(
+        "directory",
+        listen(settings.directory_address),
+        settings.directory_address,
+    )?;
+    let metrics_listener =
+        metrics_port.map(|port| SocketAddr::new(settings.caller_address.ip(), port));
     let metrics_listener =
         metrics_listener.map(|address| open("metrics", listen(address), address));
     let metrics_listener = metrics_listener.transpose()?;
-    let snapshots = open("snapshots", listen(settings.peer_address), settings.peer_address,)?;
+    let snapshots = open(
+        "snapshots",
+        listen(settings.peer_address),
+        settings.peer_address,
+    )?;
     let peers = PeerSocket::open(settings.peer_address).await;
     let peers = open("peers", peers, settings.peer_address)?;
     let mut term = on_signal(SignalKind::terminate())?;
@@ -85,8 +102,7 @@
     let run = rand::rng().random();
     let router = Router::new(RouterConfig {
         host: settings.host.clone(),
-        incarnation:
-        run,
+        incarnation: run,
         peer_address: settings.peer_address,
         caller_address: settings.caller_address,
         failure_domain: settings.failure_domain.clone(),
@@ -131,6 +147,7 @@
     signal(kind).map_err(|error| error.to_string())
 }
 
+/// Applies the reducer's ticks, closes expired connections and logs changes of live peers.
 async fn run_timer(host: Rc<Host>) {
     let mut swept_at = Instant::now();
     let mut live_peers = LivePeers::default();
@@ -145,18 +162,18 @@
     }
 }
 
-/// The settings that can change while a host runs are those it does not use after its
-/// start, so a signal is written down and changes nothing.
+/// Logs each SIGHUP. The settings that may change while a host runs are not used after its
+/// start, so there is nothing to reload.
 async fn log_hang_ups(mut hang_up: Signal) {
     while hang_up.recv().await.is_some() {
-        log::info!("told that the settings changed");
+        log::info!("SIGHUP received; no setting can be reloaded");
     }
 }
 
-/// Finishes what the host has, within its grace.
+/// Finishes the requests of the host, within its grace period.
 async fn drain(host: &Host, phase: &watch::Sender<DrainPhase>) {
     let since = Instant::now();
-    log::info!("leaving");
+    log::info!("draining");
     host.apply(Event::Drain);
     phase.send_replace(DrainPhase::CloseAfterResponse);
     sleep(MIN_DRAIN_TIME).await;
@@ -165,8 +182,8 @@
     while !host.read(jaypin_router::Router::is_idle) && since.elapsed() < grace {
         sleep(DRAIN_CHECK_INTERVAL).await;
     }
-    // Answers that were given are still on their way to their callers.
+    // The last responses are still being written to their callers.
     sleep(DRAIN_CHECK_INTERVAL).await;
     let counts = host.read(|router| router.counts(Instant::now().into_std()));
-    log::info!(unfinished = counts.running + counts.waiting; "left");
+    log::info!(unfinished = counts.running + counts.waiting; "drained; exiting");
 }
--- a/crates/jaypin_entry/src/store/backends.rs
+++ b/crates/jaypin_entry/src/store/backends.rs
@@ -1,4 +1,4 @@
-//! Follows the backend servers' registrations.
+//! Follows the registrations of backend servers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,16 +13,17 @@
 use crate::peers::fetch_entries;
 use crate::ports::{Collection, Freshness, Object, ObjectChange};
 
-/// How long one watch waits. Answers come at once when something changes; a connection
-/// that went silent is noticed after this time and a call's.
+/// Time for which one watch waits. It returns at once when something changes; a dead connection
+/// is detected after this time plus the timeout of a call.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time within which entries that a peer handed over should have made this host know what
-/// hosts that watch know; else the store is asked.
+/// Time after entries were fetched from a peer within which this host should have the same
+/// entries as the watchers; after it the store is read.
 const SNAPSHOT_GRACE: Duration = Duration::from_secs(3);
 
-/// Follows the backend servers until the task is dropped: by watches if this host is to
-/// watch, else by what its peers tell, and by asking for all when that differs for long.
+/// Follows the backend servers until the task is dropped: by watches if this host is a watcher,
+/// else by its peers' reports. If its entries differ from a watcher's for too long, it reads all
+/// entries from a peer or the store.
 pub async fn follow_backends(host: Rc<Host>) {
     let mut client = StoreClient::new(&host);
     let mut retries = Retries::default();
@@ -50,17 +51,18 @@
     }
 }
 
+/// Fetches all entries from a peer. Returns whether one responded.
 async fn fetch_from_peer(host: &Host) -> bool {
     let Some(entries) = fetch_entries(host).await else {
         return false;
     };
-    log::info!(count = entries.len(); "entries handed over");
+    log::info!(count = entries.len(); "backend server entries fetched from a peer");
     host.apply(Event::EntriesTransferred(entries));
     true
 }
 
-/// Reads all, then watches for as long as this host is to; a host that has just started and
-/// doesn't watch takes what may lag, and hears from its peers what changed since.
+/// Reads all entries, then watches for as long as this host is a watcher. A host that has just
+/// started and does not watch accepts stale entries, and receives later changes from its peers.
 async fn follow(
     host: &Host,
     client: &mut StoreClient<'_>,
@@ -76,15 +78,18 @@
         .iter()
         .filter_map(|object| Some((read(host, object)?, object.point)))
         .collect();
-    log::info!(count = entries.len(), point:?; "backend servers listed");
+    log::info!(count = entries.len(), point:?; "backend server entries listed");
     host.apply(Event::BackendsListed { entries, point });
     while host.read(follows_store) {
-        let Some(updates) = client.watch(Collection::Backends, point, WATCH_TIMEOUT).await? else {
+        let Some(updates) = client
+            .watch(Collection::Backends, point, WATCH_TIMEOUT)
+            .await?
+        else {
             return Ok(());
         };
         for change in &updates.changes {
             let change = entry_change(host, change, updates.point);
-            log::info!(change:?; "backend server");
+            log::info!(change:?; "backend server entry changed");
             host.apply(Event::BackendChanged(change));
         }
         point = updates.point;
@@ -95,7 +100,8 @@
     Ok(())
 }
 
-/// An entry that can't be read names no backend server to use.
+/// Converts a change of the store. An invalid entry counts as removed, so that its backend
+/// server is not used.
 fn entry_change(host: &Host, change: &ObjectChange, point: StorePoint) -> EntryChange {
     let object = &change.object;
     match read(host, object).filter(|_| !change.is_removed) {
@@ -110,11 +116,12 @@
     }
 }
 
+/// Parses an entry, and logs one that is invalid.
 fn read(host: &Host, object: &Object) -> Option<BackendRecord> {
     match host.platform.parse_backend(object) {
         Ok(record) => Some(record),
         Err(error) => {
-            log::warn!(name = object.name, error:%; "an entry that is no backend server");
+            log::warn!(name = object.name, error:%; "invalid backend server entry in the store; treated as absent");
             None
         }
     }
--- a/crates/jaypin_entry/src/store/client.rs
+++ b/crates/jaypin_entry/src/store/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store.
+//! HTTP client of the platform's store.
 
 use std::time::Duration;
 
@@ -11,50 +11,50 @@
 use snafu::Snafu;
 use tokio::time::timeout;
 
-use crate::calls::{BufferedResponse,Connection, DEFAULT_TIMEOUTS, connect, read_response};
+use crate::calls::{BufferedResponse, Connection, DEFAULT_TIMEOUTS, connect, read_response};
 use crate::host::Host;
 use crate::metrics;
 use crate::ports::{Collection, DecodeError, Freshness, Object, ObjectChanges, ObjectPage};
 
-/// Time for a call that the store answers at once. It answers in milliseconds, and in some
-/// hundred when it is slow; a connection that went silent is noticed after this time.
+/// Timeout of a call that does not wait for changes. The store responds within milliseconds,
+/// and within a few hundred when it is slow; a dead connection is detected after this time.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Time to open a connection.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Why a call gave nothing.
+/// Why a call to the store failed.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// It could not be reached, or broke off.
-    #[snafu(display("no connection"))]
+    /// The store could not be reached, or the connection failed during the call.
+    #[snafu(display("the connection to the store failed"))]
     ConnectionFailed,
-    /// It did not answer in time.
-    #[snafu(display("no response in time"))]
+    /// The store did not respond in time.
+    #[snafu(display("the store did not respond in time"))]
     TimedOut,
-    /// It answered with another status than expected.
-    #[snafu(display("status {status}"))]
+    /// The response has a status other than success.
+    #[snafu(display("expected a success, found status {status}"))]
     Status {
-        /// The status.
+        /// Status of the response.
         status: StatusCode,
     },
-    /// Its answer states an earlier era than one before, or none.
-    #[snafu(display("era {stated:?} after {known}"))]
+    /// The response states an earlier era than a previous one did, or none.
+    #[snafu(display("expected era {known} or a later one, found {stated:?}"))]
     OutdatedEra {
-        /// The era.
+        /// Era of this response, if it states one.
         stated: Option<StoreEra>,
-        /// The newest one that the store stated.
+        /// Newest era that the store stated.
         known: StoreEra,
     },
-    /// Its answer makes no sense.
+    /// The response could not be decoded.
     #[snafu(display("{source}"))]
     Decode {
-        /// What makes no sense.
+        /// What could not be decoded.
         source: DecodeError,
     },
 }
 
 impl StoreError {
-    /// The error in one word.
+    /// Returns the error as the outcome label of metrics.
     fn as_str(&self) -> &'static str {
         match self {
             Self::ConnectionFailed => "unreached",
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether the store does not serve this host; other statuses are answers.
+    /// Returns whether the store does not serve this host. Other statuses are valid responses.
     fn is_outage(&self) -> bool {
         match self {
             Self::ConnectionFailed | Self::TimedOut | Self::OutdatedEra { .. } => true,
@@ -83,27 +83,27 @@
     }
 }
 
-/// An answer of the store.
+/// A successful response of the store.
 #[derive(Debug)]
 pub struct StoreResponse {
-    /// The history that it speaks of.
+    /// Era of the history that the response belongs to.
     pub era: StoreEra,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
 }
 
-/// A client of the store with one connection, which is made anew after each failure: on
-/// one that lost an answer nothing further comes.
+/// A client of the store with one connection, which is replaced after each failure: a
+/// connection that lost a response delivers nothing further.
 #[derive(Debug)]
 pub struct StoreClient<'a> {
     host: &'a Host,
     connection: Option<Connection>,
-    /// Whether the last call failed.
+    /// Whether the last call showed an outage of the store.
     is_unavailable: bool,
 }
 
 impl<'a> StoreClient<'a> {
-    /// Starts without a connection.
+    /// Creates a client without a connection.
     pub fn new(host: &'a Host) -> Self {
         Self {
             host,
@@ -112,10 +112,10 @@
         }
     }
 
-    /// Reads all objects of a kind, with the point from which to watch on.
+    /// Reads all objects of a collection. Returns them with the point from which to watch.
     pub async fn list(
         &mut self,
-        kind: Collection,
+        collection: Collection,
         freshness: Freshness,
     ) -> Result<(Vec<Object>, StorePoint), StoreError> {
         let mut objects: Vec<Object> = Vec::new();
@@ -125,10 +125,10 @@
             let path = self
                 .host
                 .platform
-                .list_path(kind, after.as_deref(), freshness);
+                .list_path(collection, after.as_deref(), freshness);
             let StoreResponse { era, body } = self.get(&path, CALL_TIMEOUT).await?;
             let page: ObjectPage = self.host.platform.parse_page(&body, era)?;
-            // Pages of two histories make no listing.
+            // Pages of two histories do not make a consistent listing, so it starts again.
             if first_point.is_some_and(|it| it.era != era) {
                 objects.clear();
                 first_point = None;
@@ -136,7 +136,8 @@
             }
             let is_empty = page.objects.is_empty();
             objects.extend(page.objects);
-            // Changes while pages are read are told again by a watch from the first one on.
+            // A watch from the first page's point returns all changes since, also those made
+            // while later pages were read.
             let point = *first_point.get_or_insert(page.point);
             if !page.has_more || is_empty {
                 return Ok((objects, point));
@@ -144,19 +145,27 @@
         }
     }
 
-    /// Waits for changes of a kind; gives nothing when that history is gone.
+    /// Waits for changes of a collection. Returns `None` if the store no longer has the history
+    /// since the given point.
     pub async fn watch(
         &mut self,
-        kind: Collection,
+        collection: Collection,
         since: StorePoint,
         wait: Duration,
     ) -> Result<Option<ObjectChanges>, StoreError> {
-        let path = self.host.platform.watch_path(kind, since.revision, wait);
+        let path = self
+            .host
+            .platform
+            .watch_path(collection, since.revision, wait);
         match self.get(&path, wait + CALL_TIMEOUT).await {
-            // The new history may have reached the revision, and lacks what lies between.
+            // A new history may have passed the revision already, so changes before it would
+            // be missing.
             Ok(response) if response.era != since.era => Ok(None),
             Ok(response) => {
-                let changes = self.host.platform.parse_changes(&response.body, response.era)?;
+                let changes = self
+                    .host
+                    .platform
+                    .parse_changes(&response.body, response.era)?;
                 Ok(Some(changes))
             }
             Err(StoreError::Status { status }) if status == StatusCode::GONE => Ok(None),
@@ -164,7 +173,7 @@
         }
     }
 
-    /// Writes to a path.
+    /// Writes a body to a path.
     pub async fn write(
         &mut self,
         method: Method,
@@ -174,11 +183,12 @@
         self.call(method, path, body, CALL_TIMEOUT).await
     }
 
-    /// Reads from a path.
+    /// Reads a path.
     pub async fn get(&mut self, path: &str, limit: Duration) -> Result<StoreResponse, StoreError> {
         self.call(Method::GET, path, Bytes::new(), limit).await
     }
 
+    /// Makes one call, counts it, and logs the end of an outage.
     async fn call(
         &mut self,
         method: Method,
@@ -204,11 +214,12 @@
         let is_outage = response.as_ref().is_err_and(StoreError::is_outage);
         let was_unavailable = std::mem::replace(&mut self.is_unavailable, is_outage);
         if was_unavailable && !self.is_unavailable {
-            log::info!("the store answers again");
+            log::info!("store calls succeed again");
         }
         response
     }
 
+    /// Sends a request and reads the whole response, on the kept connection or a new one.
     async fn exchange(
         &mut self,
         method: Method,
@@ -231,15 +242,17 @@
         headers.insert(CONTENT_TYPE, json);
         let response = connection.call(req).await;
         let response = response.map_err(|_| StoreError::ConnectionFailed)?;
-        let response = read_response(response).await.ok_or(StoreError::ConnectionFailed)?;
+        let response = read_response(response)
+            .await
+            .ok_or(StoreError::ConnectionFailed)?;
         self.connection = Some(connection);
         Ok(response)
     }
 
-    /// Finds the era of a success, and lets the decisions know it.
+    /// Checks the era of a successful response, and reports a new one to the reducer.
     ///
-    /// Guards against an answer of a former history that arrives late: what it says may have
-    /// been lost since, and its revisions may have been given out again.
+    /// Guards against a response from a former history that arrives late: its content may have
+    /// been lost since, and its revisions may have been reused.
     fn check_era(&self, response: BufferedResponse) -> Result<StoreResponse, StoreError> {
         let status = response.status;
         if !status.is_success() {
@@ -251,12 +264,12 @@
             (stated, Some(known)) if stated < Some(known) => {
                 return Err(StoreError::OutdatedEra { stated, known });
             }
-            // One that never stated any has one history.
+            // A store that never stated an era has a single history.
             (stated, _) => stated.unwrap_or_default(),
         };
         if stated != known {
             if let Some(former) = known {
-                log::warn!(era, former; "the store came back with another history");
+                log::warn!(era, former; "the store has a new era: its history was replaced");
             }
             self.host.apply(Event::StoreEra(era));
         }
--- a/crates/jaypin_entry/src/store/configuration.rs
+++ b/crates/jaypin_entry/src/store/configuration.rs
@@ -1,4 +1,4 @@
-//! Follows what operators configure, and proves that it is the newest.
+//! Follows the configuration, and records when it was known to be the newest.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,26 +14,26 @@
 use crate::peers::fetch_configuration;
 use crate::ports::{Collection, Freshness, Object};
 
-/// How long one watch waits. The proof that a configuration is the newest is as old as the
-/// last answer, so this bounds its age; each watch has its price.
+/// Time for which one watch waits. A watch's response proves that the configuration is the
+/// newest, so this bounds the age of the proof; each watch has a cost.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time by which a watch may lag behind what was written: a store that drops its history
-/// tells watches nothing for up to a second before.
+/// Time by which a watch may lag behind writes: before a store drops its history, watches may
+/// return nothing for up to a second.
 const WATCH_LAG: Duration = Duration::from_millis(1_200);
 
-/// Bound on a configuration within which all hosts have to ask the store themselves as soon as
-/// their proofs are old.
+/// Bound on the time to apply a configuration below which hosts read the store without
+/// staggering, as soon as their proofs are old.
 const IMMEDIATE_CONVERGENCE: Duration = Duration::from_secs(2);
-/// Time between two hosts that ask the store once proofs are old, and the longest such wait:
-/// proofs hold for 1.4 s longer.
+/// Time between the reads of two hosts once their proofs are old.
 const STAGGER_STEP: Duration = Duration::from_millis(40);
+/// Longest delay of a staggered read. Proofs remain valid for 1.4 s after they count as old.
 const MAX_STAGGER: Duration = Duration::from_millis(900);
 
-/// Pause after a version that was told of was not to be had.
+/// Pause after a reported version could not be read from any peer.
 const UNAVAILABLE_VERSION_PAUSE: Duration = Duration::from_millis(500);
 
-/// Follows the configuration until the task is dropped: by watches if this host is to
-/// watch, else by asking for it when a peer knows a newer one.
+/// Follows the configuration until the task is dropped: by watches if this host is a watcher,
+/// else by fetching it when a peer reports a newer version.
 pub async fn follow_configuration(host: Rc<Host>) {
     let mut client = StoreClient::new(&host);
     let mut retries = Retries::default();
@@ -46,14 +46,17 @@
 }
 
 async fn follow(host: &Host, client: &mut StoreClient<'_>) -> Result<(), StoreError> {
-    wait_until(host, |router| { must_watch(router) || router.is_configuration_outdated()
-    }).await;
+    wait_until(host, |router| {
+        must_watch(router) || router.is_configuration_outdated()
+    })
+    .await;
     stagger(host).await;
     if !host.read(|router| must_watch(router) || router.is_configuration_outdated()) {
         return Ok(());
     }
-    // One that the store turns away takes what its peers have, also if it should watch.
-    let reads_store = host.read(|router| router.is_watcher(now()) && !router.last_store_call_failed());
+    // A watcher whose last call to the store failed fetches from its peers like other hosts.
+    let reads_store =
+        host.read(|router| router.is_watcher(now()) && !router.last_store_call_failed());
     if !reads_store && fetch_from_peer(host).await {
         return Ok(());
     }
@@ -78,34 +81,38 @@
         }
     }
     if host.read(Router::is_configuration_outdated) {
-        // A peer told of a version that nobody has.
+        // A peer reported a version that no peer returns.
         sleep(UNAVAILABLE_VERSION_PAUSE).await;
     }
     Ok(())
 }
 
-/// Takes a newer configuration from a peer where the store has none.
+/// Fetches a newer configuration from a peer if the store has an older one.
 ///
-/// Guards against a store that came back from an older copy: a host that reads it first would
-/// accept credentials that were withdrawn since, until operators have written again.
+/// Guards against a store that was restored from an older copy: a host that reads it first
+/// would accept credentials that were withdrawn since, until operators write again.
 async fn recover_lost_configuration(host: &Host) {
     if host.read(Router::is_configuration_outdated) {
         fetch_from_peer(host).await;
     }
 }
 
-/// Whether this host shall ask the store, and watch it.
+/// Returns whether this host has to read and watch the store.
 fn must_watch(router: &Router) -> bool {
     router.should_watch(now(), boot_time())
 }
 
-/// Lets hosts that go before this one ask the store first.
+/// Waits until hosts with a higher rank had time to read the store first.
 ///
-/// Guards against all hosts of a large fleet asking at once: their proofs grow old in the same
-/// moment, as they come from the same hosts. Where the bound on a configuration leaves time,
-/// the first ones ask and tell the others.
+/// Guards against simultaneous reads by all hosts of a large fleet: their proofs become old at
+/// the same moment, since they come from the same hosts. Where the bound on the time to apply a
+/// configuration leaves time, the first hosts read it and report it to the others.
 async fn stagger(host: &Host) {
-    let slack = host.settings.bounds.convergence_limit.saturating_sub(IMMEDIATE_CONVERGENCE);
+    let slack = host
+        .settings
+        .bounds
+        .convergence_limit
+        .saturating_sub(IMMEDIATE_CONVERGENCE);
     let until = Instant::now() + host.read(|router| stagger_delay(router, slack));
     let has_waited = |router: &Router| {
         Instant::now() >= until || router.table().is_none() || !router.is_stale(boot_time())
@@ -113,16 +120,20 @@
     wait_until(host, has_waited).await;
 }
 
+/// Returns the delay before this host reads the store, from its rank among its live peers.
 fn stagger_delay(router: &Router, slack: Duration) -> Duration {
     let position = u32::try_from(router.store_probe_rank(now())).unwrap_or(u32::MAX);
     if router.probes_store_first(now()) || !router.is_stale(boot_time()) {
         return Duration::ZERO;
     }
-    STAGGER_STEP.saturating_mul(position).min(slack).min(MAX_STAGGER)
+    STAGGER_STEP
+        .saturating_mul(position)
+        .min(slack)
+        .min(MAX_STAGGER)
 }
 
-/// Takes the newest configuration from a peer, or its word that this host has it; says
-/// whether that was all that this host needs.
+/// Fetches the newest configuration from a peer, or its confirmation that this host has it.
+/// Returns whether the store need not be read.
 async fn fetch_from_peer(host: &Host) -> bool {
     let Some(from_peer) = fetch_configuration(host).await else {
         return false;
@@ -137,10 +148,11 @@
         host.apply(Event::ConfirmedByPeer(at));
     }
     let is_up_to_date = !host.read(must_watch) && !host.read(Router::is_configuration_outdated);
-    // One that is newer still is asked for next.
+    // If a still newer version was reported, it is fetched next.
     is_up_to_date || known_version(host) > known
 }
 
+/// Reads the configuration from the store. Returns the point from which to watch.
 async fn read(host: &Host, client: &mut StoreClient<'_>) -> Result<StorePoint, StoreError> {
     let requested_at = boot_time();
     let (objects, point) = client
@@ -153,11 +165,11 @@
     Ok(point)
 }
 
-/// The time at which a watch's answer was surely the newest.
+/// Returns the time at which a watch's response was certainly the newest state.
 ///
-/// It was asked before and may tell of that moment only; an answer that came later tells
-/// of what was at most a lag before it came. A suspended host's steady clock stands still,
-/// so only the time of asking holds for it.
+/// That is the time of the request, or [`WATCH_LAG`] before the response if that is later. If
+/// the host was suspended meanwhile, it is the time of the request: the response may have
+/// arrived before the suspension, which the steady clock does not count.
 fn proved_at((requested_boot, requested): (BootTime, Instant)) -> BootTime {
     let waited = requested.elapsed();
     let now = boot_time();
@@ -168,20 +180,21 @@
     requested_boot.max(now.saturating_sub(WATCH_LAG))
 }
 
+/// Applies an object's configuration if it is newer than the one in use.
 fn apply(host: &Host, object: &Object) {
     match host.platform.parse_configuration(object) {
         Ok(configuration) => {
             let version = configuration.version;
             let known = known_version(host);
             if version > known {
-                log::info!(version, known; "configuration");
+                log::info!(version, known; "new configuration applied");
                 let table = Arc::new(RouteTable::new(configuration));
                 host.set_configuration(object.clone());
                 host.apply(Event::ConfigurationLoaded(table));
             }
         }
         Err(error) => {
-            log::warn!(name = object.name, error:%; "an object that is no configuration");
+            log::warn!(name = object.name, error:%; "invalid configuration in the store or from a peer; ignored");
         }
     }
 }
--- a/crates/jaypin_entry/src/store/hosts.rs
+++ b/crates/jaypin_entry/src/store/hosts.rs
@@ -1,4 +1,4 @@
-//! Registers this host and finds the others.
+//! Registers this host and discovers the other hosts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,22 +13,23 @@
 use crate::host::Host;
 use crate::ports::{Collection, Freshness, HostRecord, Object};
 
-/// Pause between two looks at whether a peer is heard that was not listed.
+/// Time between two checks for a live peer that was not listed.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause between two listings for the sake of such peers, and its spread: a new host is heard
-/// by its whole cell at once.
+/// Mean pause between two listings because of such peers.
 const LIST_INTERVAL: Duration = Duration::from_secs(3);
+/// Random factor on the pause: a new host's reports reach its whole cell at once.
 const LIST_SPREAD: std::ops::Range<f64> = 0.3..1.7;
 
-/// Age of a registration from which on each copy of the store has it: copies are seconds old.
+/// Age from which on a registration is contained in every copy of the store: copies are only
+/// seconds old.
 const REPLICATION_TIME: Duration = Duration::from_mins(1);
 
-/// Registers this host, then reads who else has registered, and again when a peer is heard
-/// that was not listed. A store that came back from an older copy may have lost a young
+/// Registers this host and lists the registered hosts, and lists them again when a live peer is
+/// not among them. If the store was restored from an older copy, it may have lost a recent
 /// registration, which is then written again.
 ///
-/// Nobody watches these entries: each host tells those that it finds, and who registers
-/// later finds it. Of two hosts that start together at least one sees the other's entry,
+/// No host watches these entries: each host sends reports to the hosts that it lists, and hosts
+/// that register later list it. Of two hosts that start together at least one lists the other,
 /// since both write before they read.
 pub async fn join_fleet(host: Rc<Host>) {
     let mut client = StoreClient::new(&host);
@@ -45,7 +46,8 @@
             sleep(CHECK_INTERVAL).await;
         }
         let before = std::mem::replace(&mut era, host.read(Router::store_era));
-        let may_be_lost = before.is_some() && before != era && joined_at.elapsed() < REPLICATION_TIME;
+        let may_be_lost =
+            before.is_some() && before != era && joined_at.elapsed() < REPLICATION_TIME;
         if may_be_lost && let Err(error) = ensure_registered(&host, &mut client).await {
             era = before;
             retries.back_off(&host, "registration", &error).await;
@@ -56,7 +58,9 @@
         }
         match client.list(Collection::Hosts, Freshness::AllowStale).await {
             Ok((objects, _)) => record_hosts(&host, &objects),
-            Err(error) => log::info!(error:%; "hosts could not be listed again"),
+            Err(error) => {
+                log::info!(error:%; "listing the registered hosts failed; retrying after a pause");
+            }
         }
     }
 }
@@ -66,20 +70,24 @@
     host.read(|router| router.has_unlisted_peer(now))
 }
 
+/// Registers this host if the store has no current registration of it.
 async fn ensure_registered(host: &Host, client: &mut StoreClient<'_>) -> Result<(), StoreError> {
     let own = HostRecord {
         host: host.settings.host.clone(),
         peer_address: host.settings.peer_address,
     };
-    // One that has been there for long lists all that matter also if it lags.
-    let (objects, _) = client.list(Collection::Hosts, Freshness::AllowStale).await?;
+    // A stale listing suffices for a host that registered long ago: it contains all hosts that
+    // matter.
+    let (objects, _) = client
+        .list(Collection::Hosts, Freshness::AllowStale)
+        .await?;
     let registered = objects.iter().find(|it| *it.name == *own.host);
     let is_current = registered.is_some_and(|it| {
         let record = host.platform.parse_host(it);
         record.is_ok_and(|record| record == own)
     });
-    // Known at once, however long it takes to register: each host gives out its part of
-    // the quotas by how many there are.
+    // The hosts are applied before this host registers, however long that takes: each host
+    // grants a share of the quotas that depends on the number of hosts.
     record_hosts(host, &objects);
     if is_current {
         return Ok(());
@@ -90,6 +98,7 @@
     Ok(())
 }
 
+/// Writes the registration of this host, and replaces the given revision if there is one.
 async fn register(
     host: &Host,
     client: &mut StoreClient<'_>,
@@ -106,21 +115,23 @@
         client.write(Method::POST, &kind, body).await
     };
     match written {
-        // An earlier try whose answer was lost, or this host's process before this one.
+        // An earlier attempt whose response was lost, or a former process of this host, has
+        // registered it.
         Err(StoreError::Status { status }) if status == StatusCode::CONFLICT => Ok(()),
         other => other.map(drop),
     }
 }
 
+/// Passes the listed hosts to the reducer.
 fn record_hosts(host: &Host, objects: &[Object]) {
     let records = objects.iter().filter_map(|object| {
         let record = host.platform.parse_host(object);
         if let Err(error) = &record {
-            log::warn!(name = object.name, error:%; "an entry that is no host");
+            log::warn!(name = object.name, error:%; "invalid host entry in the store; ignored");
         }
         record.ok()
     });
     let hosts: Vec<_> = records.map(|it| (it.host, it.peer_address)).collect();
-    log::info!(count = hosts.len(); "hosts listed");
+    log::info!(count = hosts.len(); "registered hosts listed");
     host.apply(Event::HostsListed(hosts));
 }
--- a/crates/jaypin_entry/src/store/mod.rs
+++ b/crates/jaypin_entry/src/store/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's store: one client, two watches, one registration.
+//! Access to the platform's store: the client, and the tasks that watch collections, register
+//! this host and write the states of rollouts.
 
 mod backends;
 mod client;
@@ -21,43 +22,47 @@
 use crate::host::Host;
 use client::StoreError;
 
-/// Pause after a call that failed, at the least; doubled with each further one.
+/// Pause after a failed call, doubled with each further failure.
 const FIRST_RETRY: Duration = Duration::from_millis(400);
-/// Longest such pause, and its part for each host that is heard. Each call has its price, also
-/// a refused one; the first host that finds the store back tells the others, so in a large
-/// fleet no single one has to ask often.
+/// Longest pause in a fleet of any size. The limit of the pause grows with the number of live
+/// peers, by [`RETRY_PER_PEER`]: each call has a cost, also a rejected one, and the first host
+/// that reaches the store again reports it to its peers, so in a large fleet no single host
+/// has to retry often.
 const MAX_RETRY: Duration = Duration::from_secs(8);
+/// Limit of the pause per live peer.
 const RETRY_PER_PEER: Duration = Duration::from_millis(100);
-/// The same in a fleet in which nearly all calls would come from hosts that need not ask.
+/// Limit of the pause per live peer in a large fleet, in which nearly all calls would come
+/// from hosts that other hosts retry for.
 const RETRY_IN_LARGE_FLEET: Duration = Duration::from_millis(220);
-/// Hosts that are heard from which on a fleet is large in this respect.
+/// Number of live peers from which on a fleet counts as large.
 const LARGE_FLEET: u32 = 20;
-/// Longest pause of the hosts that ask first.
+/// Longest pause of the hosts that retry first, in a large fleet.
 const MAX_PRIORITY_RETRY: Duration = Duration::from_millis(800);
-/// Longest pause of a host that has just started: nobody else reads the backend servers for it.
+/// Longest pause of a host before its first successful call: no other host reads the backend
+/// servers for it.
 const MAX_STARTUP_RETRY: Duration = Duration::from_secs(2);
-/// Spread of pauses, so that a fleet does not come back in one moment.
+/// Random factor on pauses, so that the hosts of a fleet do not retry at the same moment.
 const RETRY_SPREAD: std::ops::Range<f64> = 0.7..1.3;
 
-/// Pause after a watch that told something.
+/// Pause after a watch that returned changes.
 ///
 /// Changes come in groups: backend servers register within a second of each other, and a
-/// configuration follows another. One call then tells several changes, at the cost of this
-/// time; the tightest bound on any of them is two seconds.
+/// configuration follows another. After the pause one call returns several changes. The
+/// tightest bound on applying any of them is two seconds.
 const WATCH_PAUSE: Duration = Duration::from_millis(300);
 
-/// Pause between two looks at whether there is a reason to call.
+/// Time between two checks whether the store has to be called.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Waits until something holds.
+/// Waits until a condition on the reducer's state holds.
 async fn wait_until(host: &Host, holds: impl Fn(&Router) -> bool) {
     while !host.read(&holds) {
         sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Whether it falls to this host to follow what the store has besides the configuration. While
-/// no host knows the configuration to be the newest, that is asked for first.
+/// Returns whether this host watches the collections besides the configuration. While the
+/// configuration is not known to be the newest, reading it takes precedence.
 fn follows_store(router: &Router) -> bool {
     router.has_fresh_proof(boot_time()) && router.is_watcher(now())
 }
@@ -66,7 +71,7 @@
     Instant::now().into_std()
 }
 
-/// Longest pause before this host asks the store again.
+/// Returns the longest pause before this host calls the store again.
 fn max_retry(router: &Router) -> Duration {
     let live_peers = u32::try_from(router.live_peers(now()).count()).unwrap_or(u32::MAX);
     let (per_peer, longest) = if live_peers < LARGE_FLEET {
@@ -80,12 +85,13 @@
     pause.clamp(FIRST_RETRY, longest)
 }
 
-/// Whether a peer has what this host lacks, so that it need not wait for the store.
+/// Returns whether a peer has the newest configuration while this host lacks it, so that this
+/// host need not wait for the store.
 fn can_ask_peer(router: &Router) -> bool {
     !router.has_fresh_proof(boot_time()) && !router.configuration_holders(now()).is_empty()
 }
 
-/// Pauses between tries of one kind of call.
+/// Backoff between attempts of one kind of call.
 #[derive(Debug, Default)]
 struct Retries {
     failures: u32,
@@ -93,20 +99,20 @@
 }
 
 impl Retries {
-    /// A try succeeded.
+    /// Resets the backoff after a success.
     fn record_success(&mut self) {
         self.failures = 0;
         self.has_succeeded = true;
     }
 
-    /// Whether any try succeeded.
+    /// Returns whether any attempt succeeded.
     fn has_succeeded(&self) -> bool {
         self.has_succeeded
     }
 
-    /// Logs a failed call, tells the decisions, and waits before the next.
+    /// Logs a failed call, reports it to the reducer, and waits before the next attempt.
     async fn back_off(&mut self, host: &Host, what: &str, error: &StoreError) {
-        log::warn!(what, error:%; "the store did not answer");
+        log::warn!(what, error:%; "store call failed; retrying after a pause");
         host.apply(jaypin_router::Event::StoreCallFailed);
         let mut longest = host.read(max_retry);
         if !self.has_succeeded {
--- a/crates/jaypin_entry/src/store/rollouts.rs
+++ b/crates/jaypin_entry/src/store/rollouts.rs
@@ -1,4 +1,4 @@
-//! Follows orders for new versions of services, and writes what became of them.
+//! Follows rollout orders, and writes their states to the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 use crate::host::Host;
 use crate::ports::{Collection, Freshness, Object, ObjectChange};
 
-/// How long one watch waits. Answers come at once when something changes, and the other
-/// watchers make up for a connection that went silent.
+/// Time for which one watch waits. It returns at once when something changes; while this host
+/// waits on a dead connection, the other watchers report changes.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(8);
-/// Time for an answer to a read after a write that was refused.
+/// Timeout of the read after a write that failed with a conflict.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Follows orders while it falls to this host to watch the store; the others hear of them in
-/// reports. A deployment without a bound for new versions has none.
+/// Follows rollout orders while this host is a watcher; other hosts receive them in reports. A
+/// deployment that sets no bound on the exposure of new versions has no rollouts.
 pub async fn follow_rollouts(host: Rc<Host>) {
     if host.settings.bounds.exposure.is_none() {
         return;
@@ -46,7 +46,10 @@
         apply(host, order);
     }
     while host.read(follows_store) {
-        let Some(updates) = client.watch(Collection::Rollouts, point, WATCH_TIMEOUT).await? else {
+        let Some(updates) = client
+            .watch(Collection::Rollouts, point, WATCH_TIMEOUT)
+            .await?
+        else {
             return Ok(());
         };
         for change in &updates.changes {
@@ -62,9 +65,9 @@
     Ok(())
 }
 
-/// Orders that this host knows and that a listing of a point has no more. An order that has
-/// ended and that the store lost by coming back from an older copy is written again by its
-/// author; its end stands.
+/// Returns the known orders that are missing from a listing at the given point, as withdrawn. An
+/// order that has ended keeps its state if the store lost it by a restore from an older copy:
+/// its author writes it again.
 fn withdrawn_orders(host: &Host, listed: &[RolloutOrder], point: StorePoint) -> Vec<RolloutOrder> {
     let known = host.read(|router| router.rollout_orders().cloned().collect::<Vec<_>>());
     let is_listed = |order: &RolloutOrder| listed.iter().any(|it| it.service == order.service);
@@ -92,24 +95,26 @@
     })
 }
 
+/// Parses an order, and logs one that is invalid.
 fn read(host: &Host, object: &Object) -> Option<RolloutOrder> {
     match host.platform.parse_rollout(object) {
         Ok(order) => Some(order),
         Err(error) => {
-            log::warn!(name = object.name, error:%; "an entry that is no rollout");
+            log::warn!(name = object.name, error:%; "invalid rollout order in the store; ignored");
             None
         }
     }
 }
 
+/// Passes an order to the reducer.
 fn apply(host: &Host, order: RolloutOrder) {
     host.apply(Event::RolloutOrderRead(order));
 }
 
-/// Writes states of orders until the host ends.
+/// Writes the states of rollout orders until the host exits.
 ///
-/// Each is written once under the condition that nobody changed the order; the decisions ask
-/// again for what the store does not show.
+/// Each state is written once, on the condition that the order is unchanged. The reducer requests
+/// a write again while the store does not show the state.
 pub async fn write_rollouts(host: Rc<Host>, mut writes: UnboundedReceiver<RolloutWrite>) {
     let mut client = StoreClient::new(&host);
     while let Some(write) = writes.recv().await {
@@ -124,7 +129,7 @@
         let state = order.state.as_str();
         log::info!(
             service:% = order.service, version:% = order.to, state, evidence:?, why:% = outcomes;
-            "rollout is written"
+            "writing a rollout state"
         );
         match write_state(&host, &mut client, &order).await {
             Ok(object) => {
@@ -132,13 +137,13 @@
                     apply(&host, order);
                 }
             }
-            Err(error) => log::warn!(error:%; "a rollout's state was not written"),
+            Err(error) => log::warn!(error:%; "writing a rollout state failed"),
         }
     }
 }
 
-/// Whether the order has changed since its state was to be written, or the store has come
-/// back since: its revision may be another order's now.
+/// Returns whether the order has changed since the write was requested, or the store's history
+/// was replaced: the revision may now belong to another order.
 fn is_stale(router: &Router, order: &RolloutOrder) -> bool {
     if router.store_era().is_some_and(|era| era != order.point.era) {
         return true;
@@ -147,7 +152,7 @@
     !known.any(|it| it.service == order.service && it.point == order.point)
 }
 
-/// Gives the object as the store has it afterwards.
+/// Writes the state of an order. Returns the object as stored afterwards.
 async fn write_state(
     host: &Host,
     client: &mut StoreClient<'_>,
--- a/crates/jaypin_entry/tests/report_bytes.rs
+++ b/crates/jaypin_entry/tests/report_bytes.rs
@@ -1,4 +1,5 @@
-//! Reports as bytes: what is sent is what is heard, and no bytes stop a host.
+//! Wire format of reports and snapshots: decoding returns what was encoded, and no input makes a
+//! host panic.
 
 use std::time::Duration;
 
@@ -7,15 +8,15 @@
     encode_configuration, encode_entries, encode_report,
 };
 use jaypin_router::{
-    ArrivalCount, BackendLoad, BackendRecord, BackendSamples, BackendSignals, BackendStatus, EntryChange,
-    OutcomeCounts, Rank, Report, RolloutOrder, RolloutReport, RolloutState, RouteOutcomes,
-    SignalReport, StorePoint, StoreView, Strike, VersionOutcomes, WholeReport,
+    ArrivalCount, BackendLoad, BackendRecord, BackendSamples, BackendSignals, BackendStatus,
+    EntryChange, OutcomeCounts, Rank, Report, RolloutOrder, RolloutReport, RolloutState,
+    RouteOutcomes, SignalReport, StorePoint, StoreView, Strike, VersionOutcomes, WholeReport,
 };
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// A report in which every field holds something.
+/// Returns a report in which no field is empty.
 fn full() -> Report {
     let record = BackendRecord {
         id: "engine-1".into(),
@@ -138,28 +139,29 @@
             let mut report = full();
             change(&mut report);
             let bytes = encode_report(&report).expect("bytes");
-            let heard = decode_report(&bytes).expect("a report");
-            assert_eq!(heard, report);
+            let decoded = decode_report(&bytes).expect("a report");
+            assert_eq!(decoded, report);
         }
     )*};
 }
 
 cases! {
-    a_full_report_is_heard_as_it_was_sent: |_| {};
-    a_short_report_is_heard_as_it_was_sent: |it| it.whole = None;
-    a_host_without_a_configuration_is_heard: |it| {
+    whole_report_round_trips: |_| {};
+    short_report_round_trips: |it| it.whole = None;
+    report_without_a_configuration_round_trips: |it| {
         it.whole = Some(WholeReport { store: StoreView::default(), ..whole() });
     };
-    a_report_within_a_cell_is_heard: |it| {
+    report_within_a_cell_round_trips: |it| {
         it.whole = Some(WholeReport { cell_callers: None, ..whole() });
     };
 }
 
-/// A number that is not finite would spoil every sum that it enters: an account could use
-/// all it wants, or nothing, on every host that heard it.
+/// Guards against a number that is not finite, or negative where it must not be. It would corrupt
+/// every sum that it is added to: an account could use an unlimited quota, or none, on every host
+/// that received it.
 #[test]
-fn numbers_that_are_none_are_rejected() {
-    let spoilt: [fn(&mut Report); 6] = [
+fn invalid_numbers_are_rejected() {
+    let corruptions: [fn(&mut Report); 6] = [
         |it| it.usage[0].1 = f64::NAN,
         |it| it.usage[0].1 = -1.0,
         |it| it.whole.as_mut().expect("whole").low_levels[0].1 = f64::NEG_INFINITY,
@@ -167,38 +169,38 @@
         |it| it.samples[0].hold_seconds = -0.5,
         |it| it.samples[0].event_seconds = f64::NAN,
     ];
-    for spoil in spoilt {
+    for corrupt in corruptions {
         let mut report = full();
-        spoil(&mut report);
+        corrupt(&mut report);
         let bytes = encode_report(&report).expect("bytes");
-        let heard = decode_report(&bytes);
-        assert!(matches!(heard, Err(WireError::Number)), "{heard:?}");
+        let decoded = decode_report(&bytes);
+        assert!(matches!(decoded, Err(WireError::Number)), "{decoded:?}");
     }
 }
 
-/// Datagrams are cut, and bytes come from whoever can reach the port. None of them may end
-/// the process.
+/// Datagrams may be truncated, and any process that reaches the port can send bytes. No input may
+/// end the process.
 #[test]
-fn no_bytes_stop_a_host() {
+fn corrupt_reports_do_not_panic() {
     let bytes = encode_report(&full()).expect("bytes");
     for length in 0..bytes.len() {
         assert!(decode_report(&bytes[..length]).is_err(), "{length} bytes");
     }
     let mut rng = ChaCha8Rng::seed_from_u64(41);
     for _ in 0..20_000 {
-        let mut spoilt = bytes.clone();
+        let mut corrupted = bytes.clone();
         for _ in 0..rng.random_range(1..6) {
-            let place = rng.random_range(0..spoilt.len());
-            spoilt[place] = rng.random();
+            let index = rng.random_range(0..corrupted.len());
+            corrupted[index] = rng.random();
         }
-        // Heard or not: what counts is that it returns.
-        let _ = decode_report(&spoilt);
+        // The result may be a report or an error; the call must not panic.
+        let _ = decode_report(&corrupted);
     }
 }
 
-/// What a peer hands over is used in place of what the store says, so nothing may get lost.
+/// A configuration from a peer is used in place of the store's, so nothing may get lost.
 #[test]
-fn a_configuration_is_handed_over_as_it_is() {
+fn configuration_snapshot_round_trips() {
     let content = serde_json::json!({
         "version": u64::MAX, "rate": 12.5, "none": null, "routes": [{ "name": "ask" }, -3],
     });
@@ -208,47 +210,48 @@
         point: StorePoint::new(3, 77),
         content,
     };
-    let handed = ConfigurationSnapshot {
+    let snapshot = ConfigurationSnapshot {
         version: u64::MAX,
         proof_age: None,
         object: Some(object),
     };
-    let bytes = encode_configuration(&handed).expect("bytes");
-    let heard = decode_configuration(&bytes).expect("a configuration");
-    assert_eq!(heard, handed);
+    let bytes = encode_configuration(&snapshot).expect("bytes");
+    let decoded = decode_configuration(&bytes).expect("a configuration");
+    assert_eq!(decoded, snapshot);
 }
 
-/// A proof that grew younger on its way would let a withdrawn credential in for longer.
+/// Guards against a proof that becomes younger in transit: a withdrawn credential would be
+/// accepted for longer.
 #[test]
-fn a_proof_that_is_handed_over_grows_no_younger() {
+fn proof_age_does_not_shrink_in_transit() {
     for micros in [0, 1, 999, 1_000, 1_001, 3_999_999] {
         let age = Duration::from_micros(micros);
-        let handed = ConfigurationSnapshot {
+        let snapshot = ConfigurationSnapshot {
             version: 3,
             proof_age: Some(age),
             object: None,
         };
-        let bytes = encode_configuration(&handed).expect("bytes");
-        let heard = decode_configuration(&bytes).expect("a configuration");
-        let heard = heard.proof_age.expect("an age");
-        assert!(heard >= age && heard <= age + Duration::from_millis(1));
+        let bytes = encode_configuration(&snapshot).expect("bytes");
+        let decoded = decode_configuration(&bytes).expect("a configuration");
+        let decoded = decoded.proof_age.expect("an age");
+        assert!(decoded >= age && decoded <= age + Duration::from_millis(1));
     }
 }
 
 #[test]
-fn entries_are_handed_over_as_they_are() {
+fn entries_round_trip() {
     let entries = full().changes;
     let bytes = encode_entries(&entries).expect("bytes");
     assert_eq!(decode_entries(&bytes).expect("entries"), entries);
 }
 
-/// An answer is cut, or comes from something else that listens there.
+/// A response may be truncated, or come from another service that listens at the address.
 #[test]
-fn no_answer_of_a_peer_stops_a_host() {
+fn corrupt_snapshots_do_not_panic() {
     let bytes = encode_entries(&full().changes).expect("bytes");
     for length in 0..bytes.len() {
         assert!(decode_entries(&bytes[..length]).is_err(), "{length} bytes");
-        // Or read as something else: what counts is that it returns.
+        // Decoded as another type, the result does not matter; the call must not panic.
         let _ = decode_configuration(&bytes[..length]);
     }
 }
--- a/crates/jaypin_http/src/connect.rs
+++ b/crates/jaypin_http/src/connect.rs
@@ -1,4 +1,4 @@
-//! Connections that notice when the other side went silent.
+//! Connections that detect when the other side stops responding.
 
 use std::io;
 use std::time::Duration;
@@ -12,40 +12,41 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Idle time before a keep-alive probe, and pause between two probes.
+/// Idle time before the first keep-alive probe, and time between two probes.
 ///
-/// The shortest that the system takes. An idle connection costs a packet a second.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection is given up: one may be lost.
+/// This is the shortest interval that the system accepts. An idle connection sends one packet
+/// per second.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of probes without a response after which a connection is closed. One probe may be lost.
 const PROBES: u32 = 2;
 
-/// Sends requests on a connection.
+/// Handle that sends requests on a connection.
 pub type Sender = SendRequest<Full<Bytes>>;
-/// Does the work of a connection; to be spawned by whoever opened it.
+/// Future that drives a connection; the opener has to spawn it.
 pub type Driver = Connection<TokioIo<TcpStream>, Full<Bytes>>;
 
-/// How long the other side may take.
+/// Timeouts of a connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectTimeouts {
-    /// Longest time to open the connection.
+    /// Timeout of opening the connection.
     pub connect: Duration,
-    /// Time without an acknowledgement after which an open connection is given up.
+    /// Time for which sent bytes may stay unacknowledged before the connection is closed.
     pub unacknowledged: Duration,
 }
 
-/// Why no connection was made; no byte of a request left.
+/// Why a connection could not be opened. No byte of a request was sent.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// Nothing listens at the address: its process is gone.
-    #[snafu(display("the connection was refused"))]
+    /// No process listens at the address.
+    #[snafu(display("the connection was refused: no process listens at the address"))]
     Refused,
-    /// No answer came in time.
-    #[snafu(display("no connection in time"))]
+    /// The connection was not established in time.
+    #[snafu(display("the connection was not established in time"))]
     TimedOut,
-    /// The connection could not be made for another reason.
+    /// The connection could not be opened for another reason.
     #[snafu(display("{source}"))]
     Failed {
-        /// What the system or the HTTP library gave.
+        /// Error of the system or the HTTP library.
         source: io::Error,
     },
 }
@@ -62,12 +63,12 @@
 
 /// Opens a connection.
 ///
-/// Guards against connections that go silent for good, because something between the two
-/// ends lost track of them: no reset arrives, and a call on one would wait until its
-/// deadline. Unacknowledged bytes and unanswered probes end the connection instead.
+/// Guards against connections that stop delivering because a device between the two ends has
+/// lost their state: no reset arrives, and a call would wait until its deadline. Unacknowledged
+/// bytes and unanswered keep-alive probes end the connection instead.
 ///
 /// # Errors
-/// Says why there is none.
+/// Fails if the connection is refused, not established in time, or fails otherwise.
 pub async fn connect(
     address: &str,
     limits: ConnectTimeouts,
@@ -78,8 +79,8 @@
     let socket = SockRef::from(&stream);
     socket.set_tcp_user_timeout(Some(limits.unacknowledged))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_PAUSE)
-        .with_interval(PROBE_PAUSE)
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
         .with_retries(PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
     let made = handshake(TokioIo::new(stream)).await;
--- a/crates/jaypin_http/src/event_reader.rs
+++ b/crates/jaypin_http/src/event_reader.rs
@@ -1,32 +1,32 @@
-//! Splits a stream of server-sent events into whole events.
+//! Splitting of a stream of server-sent events into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event, in bytes; a longer one is taken for a broken stream. Events of engines
-/// hold a few tokens each, some hundred bytes.
+/// Largest event, in bytes; a stream with a larger one counts as broken. Events of inference
+/// engines hold a few tokens each, which take a few hundred bytes.
 const MAX_EVENT: usize = 1024 * 1024;
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 ///
-/// Guards against a backend server that stops in the middle of an event: what is passed on
-/// ends between two events, so that another connection can go on behind the last.
+/// Guards against a backend server that stops within an event: the forwarded part of a stream
+/// ends between two events, so that another connection can resume after the last one.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buf: BytesMut,
-    /// Bytes at the beginning that hold no end of an event, so that a long event that
-    /// comes in many pieces is looked through once.
+    /// Number of bytes at the start of the buffer that contain no end of an event, so that a
+    /// long event that arrives in many pieces is searched once.
     searched: usize,
 }
 
 impl EventReader {
-    /// Takes bytes; says whether the event in them may still become whole.
+    /// Appends bytes. Returns `false` if the buffer then exceeds the size of the largest event.
     #[must_use]
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buf.extend_from_slice(bytes);
         self.buf.len() <= MAX_EVENT
     }
 
-    /// Takes the next whole event out, with the empty line that ends it.
+    /// Removes and returns the next complete event, with the empty line that ends it.
     pub fn next_event(&mut self) -> Option<Bytes> {
         let Some(end) = self.end_of_event() else {
             self.searched = self.buf.len();
@@ -36,20 +36,21 @@
         Some(self.buf.split_to(end).freeze())
     }
 
-    /// Whether bytes of an event that is not whole are left.
+    /// Returns whether bytes of an incomplete event are left.
     #[must_use]
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// An event ends with an empty line, in either form of line end.
+    /// Returns the length of the first event if it is complete. An event ends with an empty line;
+    /// lines end with LF or CRLF.
     fn end_of_event(&self) -> Option<usize> {
         let unread = self.buf[self.searched..].iter().enumerate();
         let mut ends = unread.filter(|(_, byte)| **byte == b'\n');
-        ends.find_map(|(place, _)| {
-            let before = &self.buf[..self.searched + place];
+        ends.find_map(|(index, _)| {
+            let before = &self.buf[..self.searched + index];
             let line = before.strip_suffix(b"\r").unwrap_or(before);
-            line.ends_with(b"\n").then_some(self.searched + place + 1)
+            line.ends_with(b"\n").then_some(self.searched + index + 1)
         })
     }
 }
--- a/crates/jaypin_http/src/lib.rs
+++ b/crates/jaypin_http/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP towards backend servers, for every way of running a host.
+//! HTTP client parts for calls to backend servers.
 //!
-//! [`connect`] opens a connection that ends by itself when the other side went silent.
-//! [`EventReader`] cuts a stream into whole events, so that what a caller gets never ends
-//! in the middle of one.
+//! [`connect`] opens a connection that ends with an error if the other side stops responding.
+//! [`EventReader`] splits a stream into complete events, so that the part of a stream that is
+//! forwarded to a caller never ends within an event.
 
 mod connect;
 mod event_reader;
--- a/crates/jaypin_http/tests/connect.rs
+++ b/crates/jaypin_http/tests/connect.rs
@@ -1,4 +1,4 @@
-//! Why a connection is not made decides what becomes of the request.
+//! Errors of opening a connection, which decide whether a request is sent again.
 
 use std::time::Duration;
 
@@ -10,27 +10,30 @@
     unacknowledged: Duration::from_secs(1),
 };
 
-/// A backend server's process died, its host lives: the system refuses at once. Callers
-/// of `connect` tell this from a lost packet, since only a process that is gone has
-/// surely stopped working on what it had.
+/// If a backend server's process has exited while its machine runs, the system refuses the
+/// connection at once. Users of `connect` distinguish this from a lost packet: only an exited
+/// process has certainly stopped working on its requests.
 #[tokio::test]
-async fn an_address_without_a_listener_refuses() {
+async fn address_without_a_listener_refuses() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
-    let made = connect(&address, LIMITS).await;
-    assert!(matches!(made, Err(ConnectError::Refused)), "{made:?}");
+    let result = connect(&address, LIMITS).await;
+    assert!(matches!(result, Err(ConnectError::Refused)), "{result:?}");
 }
 
 #[tokio::test]
-async fn a_listener_gives_a_connection() {
+async fn listener_accepts_a_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     assert!(connect(&address, LIMITS).await.is_ok());
 }
 
 #[tokio::test]
-async fn an_address_that_is_none_fails() {
-    let made = connect("no address", LIMITS).await;
-    assert!(matches!(made, Err(ConnectError::Failed { .. })), "{made:?}");
+async fn invalid_address_fails() {
+    let result = connect("no address", LIMITS).await;
+    assert!(
+        matches!(result, Err(ConnectError::Failed { .. })),
+        "{result:?}"
+    );
 }
--- a/crates/jaypin_http/tests/event_reader.rs
+++ b/crates/jaypin_http/tests/event_reader.rs
@@ -1,4 +1,4 @@
-//! Events come in pieces of any size and with either form of line end.
+//! Events arrive in pieces of any size, with LF or CRLF line ends.
 
 use jaypin_http::EventReader;
 
@@ -11,17 +11,17 @@
             events.push(String::from_utf8_lossy(&event).into_owned());
         }
     }
-    (events, reader.has_rest())
+    (events, reader.has_partial_event())
 }
 
 macro_rules! cases {
-    ($($name:ident: $pieces:expr => $events:expr, $has_rest:expr;)*) => {$(
+    ($($name:ident: $pieces:expr => $events:expr, $has_partial_event:expr;)*) => {$(
         #[test]
         fn $name() {
             let events: &[&str] = &$events;
-            let (read, has_rest) = events_of(&$pieces);
+            let (read, has_partial_event) = events_of(&$pieces);
             assert_eq!(read, events);
-            assert_eq!(has_rest, $has_rest);
+            assert_eq!(has_partial_event, $has_partial_event);
         }
     )*};
 }
@@ -30,15 +30,15 @@
     two_in_one_piece: ["id: 1\n\nid: 2\n\n"] => ["id: 1\n\n", "id: 2\n\n"], false;
     one_in_many_pieces: ["i", "d: ", "1\n", "\n"] => ["id: 1\n\n"], false;
     with_carriage_returns: ["id: 1\r\n\r\nid: 2\r\n\r", "\n"] => ["id: 1\r\n\r\n", "id: 2\r\n\r\n"], false;
-    cut_within_an_event: ["id: 1\n\nid: 2\nda"] => ["id: 1\n\n"], true;
-    cut_between_the_line_ends: ["id: 1\n"] => [], true;
+    truncated_within_an_event: ["id: 1\n\nid: 2\nda"] => ["id: 1\n\n"], true;
+    truncated_between_the_line_ends: ["id: 1\n"] => [], true;
     nothing: [] => [], false;
 }
 
-/// A backend server sends bytes without an end. A host that went on collecting them would
-/// run out of memory.
+/// Guards against a backend server that sends bytes without ever ending an event: a host that
+/// buffered all of them would run out of memory.
 #[test]
-fn an_event_without_an_end_is_given_up() {
+fn event_without_an_end_is_rejected() {
     let mut reader = EventReader::default();
     let piece = vec![b'x'; 64 * 1024];
     let pushed = (0..17).take_while(|_| reader.push(&piece)).count();
