--- a/crates/jaypin_entry/src/callers/attempt.rs
+++ b/crates/jaypin_entry/src/callers/attempt.rs
@@ -285,7 +285,7 @@
         let time_left = order.deadline.saturating_duration_since(Instant::now());
         let forward = ForwardContext {
             backend: &order.backend,
-            account: order.asked_by.account.as_ref(),
+            account: order.requester.account.as_ref(),
             time_left,
         };
         let mut req = Request::new(Full::new(self.received.body.clone()));
--- a/crates/jaypin_entry/src/callers/directory.rs
+++ b/crates/jaypin_entry/src/callers/directory.rs
@@ -51,7 +51,7 @@
         let (stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!(error:%; "accepting a query connection failed; retrying after a pause");
+                log::warn!(error:%; "accepting a connection for a query failed; retrying after a pause");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
--- a/crates/jaypin_entry/src/callers/request_task.rs
+++ b/crates/jaypin_entry/src/callers/request_task.rs
@@ -76,8 +76,8 @@
                     let number = self.number;
                     self.host.apply(Event::AttemptEnded { number, outcome });
                     metrics::call(outcome.as_str());
-                    let asked_by = Some(&order.asked_by);
-                    self.log_outcome(outcome.as_str(), Some(&order), asked_by, &order.inputs);
+                    let requester = Some(&order.requester);
+                    self.log_outcome(outcome.as_str(), Some(&order), requester, &order.inputs);
                     if outcome.is_final() {
                         self.count_outcome(outcome.as_str());
                         break;
@@ -116,9 +116,9 @@
                 self.log_outcome(reason.as_str(), None, None, &inputs);
                 rejection_response(reason)
             }
-            Directive::Refuse(refused, asked_by, inputs) => {
+            Directive::Refuse(refused, requester, inputs) => {
                 self.count_outcome(refused.reason.as_str());
-                self.log_outcome(refused.reason.as_str(), None, asked_by.as_ref(), &inputs);
+                self.log_outcome(refused.reason.as_str(), None, requester.as_ref(), &inputs);
                 refusal_response(&refused)
             }
             Directive::ForwardFailure | Directive::Send(_) => {
@@ -146,12 +146,12 @@
         &self,
         outcome: &str,
         order: Option<&SendOrder>,
-        asked_by: Option<&Requester>,
+        requester: Option<&Requester>,
         inputs: &dyn std::fmt::Display,
     ) {
         let backend = order.map_or("", |order| &order.backend);
-        let account = asked_by.and_then(|it| it.account.as_deref());
-        let rank = asked_by.map(|it| it.rank.to_string()).unwrap_or_default();
+        let account = requester.and_then(|it| it.account.as_deref());
+        let rank = requester.map(|it| it.rank.to_string()).unwrap_or_default();
         let account = account.unwrap_or_default();
         let ms = self.received.received_at.elapsed().as_millis();
         let id = &self.received.header.id;
--- a/crates/jaypin_entry/src/calls/mod.rs
+++ b/crates/jaypin_entry/src/calls/mod.rs
@@ -23,7 +23,7 @@
     /// Address of the backend server.
     pub address: String,
     /// Client account and rank of the request; the account is sent to the backend server.
-    pub asked_by: Requester,
+    pub requester: Requester,
     /// Whether the request may run again, and whether its response is a stream.
     pub repeat: Repeat,
     /// Time after which a call without a first event is abandoned; `None` if it never is.
--- a/crates/jaypin_entry/src/host.rs
+++ b/crates/jaypin_entry/src/host.rs
@@ -186,7 +186,7 @@
                 let order = SendOrder {
                     backend,
                     address,
-                    asked_by,
+                    requester: asked_by,
                     repeat,
                     first_event_timeout,
                     stall_timeout,
--- a/crates/jaypin_entry/src/serve.rs
+++ b/crates/jaypin_entry/src/serve.rs
@@ -99,17 +99,17 @@
     let peers = open("peers", peers, settings.peer_address)?;
     let mut term = on_signal(SignalKind::terminate())?;
     let hang_up = on_signal(SignalKind::hangup())?;
-    let run = rand::rng().random();
+    let incarnation = rand::rng().random();
     let router = Router::new(RouterConfig {
         host: settings.host.clone(),
-        incarnation: run,
+        incarnation,
         peer_address: settings.peer_address,
         caller_address: settings.caller_address,
         failure_domain: settings.failure_domain.clone(),
-        seed: run,
+        seed: incarnation,
         bounds: settings.bounds.clone(),
     });
-    log::info!(host:% = settings.host, run, callers:% = settings.caller_address; "started");
+    log::info!(host:% = settings.host, run = incarnation, callers:% = settings.caller_address; "started");
     let (rollout_writes, rollout_orders) = mpsc::unbounded_channel();
     let host = Host::new(platform, settings, router, peers, rollout_writes);
     let host = Rc::new(host);
@@ -135,16 +135,17 @@
     Ok(())
 }
 
+/// Adds the address and its purpose to the error of opening it.
 fn open<T>(
-    what: &str,
+    purpose: &str,
     opened: std::io::Result<T>,
     address: std::net::SocketAddr,
 ) -> Result<T, String> {
-    opened.map_err(|error| format!("{what} {address}: {error}"))
+    opened.map_err(|error| format!("opening {address} for {purpose} failed: {error}"))
 }
 
 fn on_signal(kind: SignalKind) -> Result<Signal, String> {
-    signal(kind).map_err(|error| error.to_string())
+    signal(kind).map_err(|error| format!("registering a signal handler failed: {error}"))
 }
 
 /// Applies the reducer's ticks, closes expired connections and logs changes of live peers.
@@ -179,11 +180,11 @@
     sleep(MIN_DRAIN_TIME).await;
     phase.send_replace(DrainPhase::CloseIdle);
     let grace = host.settings.bounds.shutdown_grace.mul_f64(GRACE_FRACTION);
-    while !host.read(jaypin_router::Router::is_idle) && since.elapsed() < grace {
+    while !host.read(Router::is_idle) && since.elapsed() < grace {
         sleep(DRAIN_CHECK_INTERVAL).await;
     }
     // The last responses are still being written to their callers.
     sleep(DRAIN_CHECK_INTERVAL).await;
     let counts = host.read(|router| router.counts(Instant::now().into_std()));
-    log::info!(unfinished = counts.running + counts.waiting; "drained; exiting");
+    log::info!(unfinished = counts.running + counts.waiting; "drain ended; exiting");
 }
--- a/crates/jaypin_entry/src/store/backends.rs
+++ b/crates/jaypin_entry/src/store/backends.rs
@@ -76,7 +76,7 @@
     let (objects, mut point) = client.list(Collection::Backends, freshness).await?;
     let entries: Vec<_> = objects
         .iter()
-        .filter_map(|object| Some((read(host, object)?, object.point)))
+        .filter_map(|object| Some((parse_entry(host, object)?, object.point)))
         .collect();
     log::info!(count = entries.len(), point:?; "backend server entries listed");
     host.apply(Event::BackendsListed { entries, point });
@@ -104,7 +104,7 @@
 /// server is not used.
 fn entry_change(host: &Host, change: &ObjectChange, point: StorePoint) -> EntryChange {
     let object = &change.object;
-    match read(host, object).filter(|_| !change.is_removed) {
+    match parse_entry(host, object).filter(|_| !change.is_removed) {
         Some(record) => EntryChange::Stated {
             record,
             point: object.point,
@@ -117,7 +117,7 @@
 }
 
 /// Parses an entry, and logs one that is invalid.
-fn read(host: &Host, object: &Object) -> Option<BackendRecord> {
+fn parse_entry(host: &Host, object: &Object) -> Option<BackendRecord> {
     match host.platform.parse_backend(object) {
         Ok(record) => Some(record),
         Err(error) => {
--- a/crates/jaypin_entry/src/store/configuration.rs
+++ b/crates/jaypin_entry/src/store/configuration.rs
@@ -60,7 +60,7 @@
     if !reads_store && fetch_from_peer(host).await {
         return Ok(());
     }
-    let mut point = read(host, client).await?;
+    let mut point = read_from_store(host, client).await?;
     recover_lost_configuration(host).await;
     while host.read(must_watch) {
         let requested = (boot_time(), Instant::now());
@@ -71,7 +71,7 @@
             return Ok(());
         };
         for change in updates.changes.iter().filter(|it| !it.is_removed) {
-            apply(host, &change.object);
+            apply_object(host, &change.object);
         }
         point = updates.point;
         host.apply(Event::ConfigurationProved(proved_at(requested)));
@@ -140,7 +140,7 @@
     };
     let known = known_version(host);
     if let Some(object) = &from_peer.object {
-        apply(host, object);
+        apply_object(host, object);
     }
     if known_version(host) == from_peer.version
         && let Some(at) = from_peer.proved_at
@@ -153,13 +153,16 @@
 }
 
 /// Reads the configuration from the store. Returns the point from which to watch.
-async fn read(host: &Host, client: &mut StoreClient<'_>) -> Result<StorePoint, StoreError> {
+async fn read_from_store(
+    host: &Host,
+    client: &mut StoreClient<'_>,
+) -> Result<StorePoint, StoreError> {
     let requested_at = boot_time();
     let (objects, point) = client
         .list(Collection::Configuration, Freshness::Newest)
         .await?;
     for object in &objects {
-        apply(host, object);
+        apply_object(host, object);
     }
     host.apply(Event::ConfigurationProved(requested_at));
     Ok(point)
@@ -181,7 +184,7 @@
 }
 
 /// Applies an object's configuration if it is newer than the one in use.
-fn apply(host: &Host, object: &Object) {
+fn apply_object(host: &Host, object: &Object) {
     match host.platform.parse_configuration(object) {
         Ok(configuration) => {
             let version = configuration.version;
--- a/crates/jaypin_entry/src/store/mod.rs
+++ b/crates/jaypin_entry/src/store/mod.rs
@@ -23,24 +23,24 @@
 use client::StoreError;
 
 /// Pause after a failed call, doubled with each further failure.
-const FIRST_RETRY: Duration = Duration::from_millis(400);
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(400);
 /// Longest pause in a fleet of any size. The limit of the pause grows with the number of live
-/// peers, by [`RETRY_PER_PEER`]: each call has a cost, also a rejected one, and the first host
+/// peers, by [`RETRY_PAUSE_PER_PEER`]: each call has a cost, also a rejected one, and the first host
 /// that reaches the store again reports it to its peers, so in a large fleet no single host
 /// has to retry often.
-const MAX_RETRY: Duration = Duration::from_secs(8);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(8);
 /// Limit of the pause per live peer.
-const RETRY_PER_PEER: Duration = Duration::from_millis(100);
-/// Limit of the pause per live peer in a large fleet, in which nearly all calls would come
-/// from hosts that other hosts retry for.
-const RETRY_IN_LARGE_FLEET: Duration = Duration::from_millis(220);
+const RETRY_PAUSE_PER_PEER: Duration = Duration::from_millis(100);
+/// Limit of the pause per live peer in a large fleet. Nearly all calls would come from hosts that
+/// need not call, since other hosts retry first and report to them.
+const LARGE_FLEET_RETRY_PAUSE_PER_PEER: Duration = Duration::from_millis(220);
 /// Number of live peers from which on a fleet counts as large.
 const LARGE_FLEET: u32 = 20;
 /// Longest pause of the hosts that retry first, in a large fleet.
-const MAX_PRIORITY_RETRY: Duration = Duration::from_millis(800);
+const MAX_PRIORITY_RETRY_PAUSE: Duration = Duration::from_millis(800);
 /// Longest pause of a host before its first successful call: no other host reads the backend
 /// servers for it.
-const MAX_STARTUP_RETRY: Duration = Duration::from_secs(2);
+const MAX_STARTUP_RETRY_PAUSE: Duration = Duration::from_secs(2);
 /// Random factor on pauses, so that the hosts of a fleet do not retry at the same moment.
 const RETRY_SPREAD: std::ops::Range<f64> = 0.7..1.3;
 
@@ -72,17 +72,17 @@
 }
 
 /// Returns the longest pause before this host calls the store again.
-fn max_retry(router: &Router) -> Duration {
+fn max_retry_pause(router: &Router) -> Duration {
     let live_peers = u32::try_from(router.live_peers(now()).count()).unwrap_or(u32::MAX);
     let (per_peer, longest) = if live_peers < LARGE_FLEET {
-        (RETRY_PER_PEER, MAX_RETRY)
+        (RETRY_PAUSE_PER_PEER, MAX_RETRY_PAUSE)
     } else if router.probes_store_first(now()) {
-        (RETRY_IN_LARGE_FLEET, MAX_PRIORITY_RETRY)
+        (LARGE_FLEET_RETRY_PAUSE_PER_PEER, MAX_PRIORITY_RETRY_PAUSE)
     } else {
-        (RETRY_IN_LARGE_FLEET, MAX_RETRY)
+        (LARGE_FLEET_RETRY_PAUSE_PER_PEER, MAX_RETRY_PAUSE)
     };
     let pause = per_peer.saturating_mul(live_peers);
-    pause.clamp(FIRST_RETRY, longest)
+    pause.clamp(FIRST_RETRY_PAUSE, longest)
 }
 
 /// Returns whether a peer has the newest configuration while this host lacks it, so that this
@@ -114,15 +114,15 @@
     async fn back_off(&mut self, host: &Host, what: &str, error: &StoreError) {
         log::warn!(what, error:%; "store call failed; retrying after a pause");
         host.apply(jaypin_router::Event::StoreCallFailed);
-        let mut longest = host.read(max_retry);
+        let mut longest = host.read(max_retry_pause);
         if !self.has_succeeded {
-            longest = longest.min(MAX_STARTUP_RETRY);
+            longest = longest.min(MAX_STARTUP_RETRY_PAUSE);
         }
-        let pause = FIRST_RETRY.saturating_mul(2_u32.saturating_pow(self.failures));
+        let pause = FIRST_RETRY_PAUSE.saturating_mul(2_u32.saturating_pow(self.failures));
         self.failures += 1;
         let spread = rand::rng().random_range(RETRY_SPREAD);
         let until = Instant::now() + pause.min(longest).mul_f64(spread);
-        sleep(FIRST_RETRY.mul_f64(spread)).await;
+        sleep(FIRST_RETRY_PAUSE.mul_f64(spread)).await;
         while Instant::now() < until && !host.read(can_ask_peer) {
             sleep(CHECK_INTERVAL).await;
         }
--- a/crates/jaypin_entry/src/store/rollouts.rs
+++ b/crates/jaypin_entry/src/store/rollouts.rs
@@ -38,12 +38,15 @@
 
 async fn follow(host: &Host, client: &mut StoreClient<'_>) -> Result<(), StoreError> {
     let (objects, mut point) = client.list(Collection::Rollouts, Freshness::Newest).await?;
-    let listed: Vec<_> = objects.iter().filter_map(|it| read(host, it)).collect();
+    let listed: Vec<_> = objects
+        .iter()
+        .filter_map(|it| parse_order(host, it))
+        .collect();
     for order in withdrawn_orders(host, &listed, point) {
-        apply(host, order);
+        apply_order(host, order);
     }
     for order in listed {
-        apply(host, order);
+        apply_order(host, order);
     }
     while host.read(follows_store) {
         let Some(updates) = client
@@ -53,8 +56,8 @@
             return Ok(());
         };
         for change in &updates.changes {
-            if let Some(order) = changed(host, change, updates.point) {
-                apply(host, order);
+            if let Some(order) = changed_order(host, change, updates.point) {
+                apply_order(host, order);
             }
         }
         point = updates.point;
@@ -83,8 +86,9 @@
     orders.collect()
 }
 
-fn changed(host: &Host, change: &ObjectChange, point: StorePoint) -> Option<RolloutOrder> {
-    let order = read(host, &change.object)?;
+/// Returns the order after a change of the store. A removed order counts as withdrawn.
+fn changed_order(host: &Host, change: &ObjectChange, point: StorePoint) -> Option<RolloutOrder> {
+    let order = parse_order(host, &change.object)?;
     if !change.is_removed {
         return Some(order);
     }
@@ -96,7 +100,7 @@
 }
 
 /// Parses an order, and logs one that is invalid.
-fn read(host: &Host, object: &Object) -> Option<RolloutOrder> {
+fn parse_order(host: &Host, object: &Object) -> Option<RolloutOrder> {
     match host.platform.parse_rollout(object) {
         Ok(order) => Some(order),
         Err(error) => {
@@ -107,7 +111,7 @@
 }
 
 /// Passes an order to the reducer.
-fn apply(host: &Host, order: RolloutOrder) {
+fn apply_order(host: &Host, order: RolloutOrder) {
     host.apply(Event::RolloutOrderRead(order));
 }
 
@@ -133,8 +137,8 @@
         );
         match write_state(&host, &mut client, &order).await {
             Ok(object) => {
-                if let Some(order) = read(&host, &object) {
-                    apply(&host, order);
+                if let Some(order) = parse_order(&host, &object) {
+                    apply_order(&host, order);
                 }
             }
             Err(error) => log::warn!(error:%; "writing a rollout state failed"),
