--- a/crates/jaypin_entry/src/ports.rs
+++ b/crates/jaypin_entry/src/ports.rs
@@ -72,7 +72,7 @@
 /// Required freshness of a read from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// The response reflects all writes before the read.
+    /// The response reflects the state at the time of the request.
     Newest,
     /// The response may be seconds old, which costs the store less.
     AllowStale,
