--- a/crates/jaypin_entry/src/callers/read_request.rs
+++ b/crates/jaypin_entry/src/callers/read_request.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to what the decisions need to know of it.
+//! Reading and parsing of callers' HTTP requests.
 
 use std::time::Duration;
 
@@ -13,100 +13,105 @@
 use crate::host::Host;
 use crate::ports::CallerRequest;
 
-/// Largest body when no configuration is known yet, in bytes.
-const DEFAULT_BODY: usize = 1024 * 1024;
-/// Time for a caller to send its body, where it states no patience.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Largest body before a configuration is known, in bytes.
+const DEFAULT_MAX_BODY_BYTES: usize = 1024 * 1024;
+/// Time for a caller to send its body if the request states no timeout.
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a request was turned away before a decision.
+/// Why a request was rejected before it reached the reducer.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// A header makes no sense.
-    #[snafu(display("{what}"))]
+    /// A header is invalid.
+    #[snafu(display("{message}"))]
     Header {
-        /// Which one, and why.
-        what: String,
+        /// Which header is invalid, and why.
+        message: String,
     },
-    /// The body is too large.
-    #[snafu(display("the body is larger than the configuration allows"))]
+    /// The body is larger than the configured limit.
+    #[snafu(display("the request body is larger than the configured limit"))]
     TooLarge,
-    /// The body did not come whole in time.
-    #[snafu(display("the body did not arrive whole in time"))]
-    Cut,
+    /// The body did not arrive completely in time.
+    #[snafu(display("the request body did not arrive completely in time"))]
+    Incomplete,
 }
 
 impl ReadError {
-    /// Status of the answer.
+    /// Returns the status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Header { .. } => StatusCode::BAD_REQUEST,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::Cut => StatusCode::REQUEST_TIMEOUT,
+            Self::Incomplete => StatusCode::REQUEST_TIMEOUT,
         }
     }
 
-    /// The reason in one word.
+    /// Returns the reason as written in the response body.
     pub fn reason(&self) -> &'static str {
         match self {
             Self::Header { .. } => "header",
             Self::TooLarge => "too-large",
-            Self::Cut => "body-cut",
+            Self::Incomplete => "body-cut",
         }
     }
 }
 
-/// A request that was read whole.
+/// A request that was read completely.
 #[derive(Debug)]
-pub struct CallerCall {
-    /// Its method.
+pub struct ReceivedRequest {
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query, as the caller sent them.
+    /// Request target, as the caller sent it.
     pub uri: Uri,
-    /// Its header.
+    /// HTTP headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
-    /// What its header says.
-    pub says: CallerRequest,
-    /// Fingerprint of path, caller and body.
+    /// Values parsed from the headers.
+    pub header: CallerRequest,
+    /// Hash of path, credential and body.
     pub fingerprint: u64,
-    /// When its header was read.
+    /// Time at which the headers were read.
     pub received_at: Instant,
 }
 
-/// Reads a request whole.
+/// Reads a request completely.
 ///
 /// # Errors
-/// Says why it is turned away.
-pub async fn read(host: &Host, req: Request<Incoming>) -> Result<CallerCall, ReadError> {
+/// Fails if a header is invalid, or if the body is too large or does not arrive in time.
+pub async fn read(host: &Host, req: Request<Incoming>) -> Result<ReceivedRequest, ReadError> {
     let received_at = Instant::now();
     let (head, body) = req.into_parts();
-    let says = host.platform.parse_caller_request(&head.headers);
-    let says = says.map_err(|error| ReadError::Header { what: error.what })?;
-    let patience = says.timeout.unwrap_or(BODY_TIME);
-    let largest = host.look(|router| {
+    let header = host.platform.parse_caller_request(&head.headers);
+    let header = header.map_err(|error| ReadError::Header {
+        message: error.message,
+    })?;
+    let body_timeout = header.timeout.unwrap_or(DEFAULT_BODY_TIMEOUT);
+    let max_bytes = host.read(|router| {
         let table = router.table();
-        table.map_or(DEFAULT_BODY, |it| it.configuration().limits.body_bytes)
+        table.map_or(DEFAULT_MAX_BODY_BYTES, |it| {
+            it.configuration().limits.body_bytes
+        })
     });
-    let collected = timeout(patience, Limited::new(body, largest).collect()).await;
+    let collected = timeout(body_timeout, Limited::new(body, max_bytes).collect()).await;
     let body = match collected {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(ReadError::TooLarge),
-        Ok(Err(_)) | Err(_) => return Err(ReadError::Cut),
+        Ok(Err(_)) | Err(_) => return Err(ReadError::Incomplete),
     };
-    let fingerprint = fingerprint(&head.uri, says.credential.as_deref(), &body);
-    Ok(CallerCall {
+    let fingerprint = fingerprint(&head.uri, header.credential.as_deref(), &body);
+    Ok(ReceivedRequest {
         method: head.method,
         uri: head.uri,
         headers: head.headers,
         body,
-        says,
+        header,
         fingerprint,
         received_at,
     })
 }
 
-/// Salted by caller, so that no caller can have another's requests refused.
+/// Returns a hash of a request. The credential is part of it, so that no caller can cause
+/// another caller's requests to be refused.
 fn fingerprint(uri: &Uri, credential: Option<&str>, body: &[u8]) -> u64 {
     let mut hash = Xxh3Default::new();
     hash.update(credential.unwrap_or_default().as_bytes());
--- /dev/null
+++ b/crates/jaypin_entry/src/calls/buffered_response.rs
@@ -0,0 +1,36 @@
+//! Responses that are read completely before they are used.
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Limited};
+use hyper::body::Incoming;
+use hyper::{HeaderMap, Response, StatusCode};
+
+/// Largest response that is not a stream, in bytes. Services without streams respond with a
+/// few kilobytes; a host has memory for a few hundred responses of this size at once.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+
+/// A response that was read completely.
+#[derive(Debug)]
+pub struct BufferedResponse {
+    /// HTTP status.
+    pub status: StatusCode,
+    /// HTTP headers.
+    pub headers: HeaderMap,
+    /// The whole body.
+    pub body: Bytes,
+}
+
+/// Reads a response to its end. Returns `None` if the body is cut or larger than
+/// `MAX_RESPONSE_BYTES`.
+pub async fn read_response(response: Response<Incoming>) -> Option<BufferedResponse> {
+    let (head, body) = response.into_parts();
+    let body = Limited::new(body, MAX_RESPONSE_BYTES)
+        .collect()
+        .await
+        .ok()?;
+    Some(BufferedResponse {
+        status: head.status,
+        headers: head.headers,
+        body: body.to_bytes(),
+    })
+}
--- /dev/null
+++ b/crates/jaypin_entry/src/calls/connection_pool.rs
@@ -0,0 +1,168 @@
+//! Connections to backend servers and to the store, which are reused for later calls.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::header::{CONNECTION, HeaderName};
+use hyper::{HeaderMap, Request, Response};
+use jaypin_http::{ConnectError, ConnectTimeouts, Sender};
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+/// Timeouts of a connection to a backend server.
+///
+/// Three network delays at the largest distance within a fleet take 20 ms. A lost SYN packet
+/// is retransmitted only after a second; another backend server is connected to sooner.
+pub const DEFAULT_TIMEOUTS: ConnectTimeouts = ConnectTimeouts {
+    connect: Duration::from_millis(300),
+    unacknowledged: ACK_TIMEOUT,
+};
+/// Time without an acknowledgement after which a connection is closed. Lost bytes are
+/// retransmitted several times within it.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time for which an idle connection is reused if the response has no `keep-alive` timeout.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(500);
+/// Time by which a stated idle timeout is reduced: the backend server counts from the end of
+/// its response, and the next request takes some milliseconds to arrive.
+const IDLE_MARGIN: Duration = Duration::from_millis(400);
+/// Header that states the idle timeout of a connection.
+const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
+
+/// An open connection without a call in progress.
+#[derive(Debug)]
+pub struct Connection {
+    sender: Sender,
+    address: String,
+    expires_at: Option<Instant>,
+    /// Whether the connection served a call before.
+    pub is_reused: bool,
+}
+
+/// Why a call got no response.
+#[derive(Debug)]
+pub enum CallError {
+    /// No byte of the request was sent.
+    NotSent,
+    /// The connection failed after the request was sent; the request may have arrived.
+    Interrupted,
+}
+
+impl Connection {
+    /// Sends one request and waits for the head of its response.
+    ///
+    /// # Errors
+    /// Fails if no response arrived; the error states whether the request was sent.
+    pub async fn call(
+        &mut self,
+        req: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, CallError> {
+        match self.sender.try_send_request(req).await {
+            Ok(response) => Ok(response),
+            Err(error) if error.message().is_some() => Err(CallError::NotSent),
+            Err(_) => Err(CallError::Interrupted),
+        }
+    }
+
+    /// Checks that the other end has not closed the connection, as far as is known.
+    pub fn is_open(&self) -> bool {
+        !self.sender.is_closed()
+    }
+
+    /// Sets the time until which the other end keeps the connection open, from the headers of
+    /// a response.
+    pub fn update_expiry(&mut self, headers: &HeaderMap) {
+        let closes = headers
+            .get(CONNECTION)
+            .and_then(|value| value.to_str().ok());
+        let now = Instant::now();
+        if closes.is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
+            self.expires_at = Some(now);
+            return;
+        }
+        let stated = headers.get(KEEP_ALIVE).and_then(stated_timeout);
+        let idle = stated.map_or(DEFAULT_IDLE_TIME, |it| it.saturating_sub(IDLE_MARGIN));
+        self.expires_at = Some(now + idle);
+    }
+}
+
+fn stated_timeout(value: &hyper::header::HeaderValue) -> Option<Duration> {
+    let mut parts = value.to_str().ok()?.split(',');
+    let seconds = parts.find_map(|part| part.trim().strip_prefix("timeout="))?;
+    Some(Duration::from_secs(seconds.trim().parse().ok()?))
+}
+
+/// A pool of idle connections by address.
+#[derive(Debug, Default)]
+pub struct ConnectionPool {
+    idle: RefCell<HashMap<String, Vec<Connection>>>,
+}
+
+impl ConnectionPool {
+    /// Takes an idle connection from the pool, or opens a new one.
+    ///
+    /// # Errors
+    /// Fails if a new connection can't be opened.
+    pub async fn acquire(&self, address: &str) -> Result<Connection, ConnectError> {
+        if let Some(connection) = self.take_idle(address) {
+            return Ok(connection);
+        }
+        connect(address, DEFAULT_TIMEOUTS).await
+    }
+
+    fn take_idle(&self, address: &str) -> Option<Connection> {
+        let mut idle = self.idle.borrow_mut();
+        let same_address = idle.get_mut(address)?;
+        let now = Instant::now();
+        while let Some(connection) = same_address.pop() {
+            let is_unexpired = connection.expires_at.is_none_or(|at| now < at);
+            if is_unexpired && connection.sender.is_ready() {
+                return Some(connection);
+            }
+        }
+        None
+    }
+
+    /// Returns a connection to the pool after its response was read completely.
+    pub fn release(&self, mut connection: Connection) {
+        let is_unexpired = connection.expires_at.is_none_or(|at| Instant::now() < at);
+        if is_unexpired && !connection.sender.is_closed() {
+            connection.is_reused = true;
+            let mut idle = self.idle.borrow_mut();
+            let address = connection.address.clone();
+            idle.entry(address).or_default().push(connection);
+        }
+    }
+
+    /// Closes connections that have been idle for too long.
+    pub fn close_expired(&self) {
+        let now = Instant::now();
+        self.idle.borrow_mut().retain(|_, same_address| {
+            same_address
+                .retain(|it| it.expires_at.is_none_or(|at| now < at) && !it.sender.is_closed());
+            !same_address.is_empty()
+        });
+    }
+}
+
+/// Opens a connection and spawns the task that drives it.
+///
+/// # Errors
+/// Fails if the connection can't be opened.
+pub async fn connect(address: &str, limits: ConnectTimeouts) -> Result<Connection, ConnectError> {
+    let (sender, driver) = jaypin_http::connect(address, limits).await?;
+    spawn_local(async move {
+        if let Err(error) = driver.await {
+            log::debug!(error:%; "a connection ended with an error");
+        }
+    });
+    Ok(Connection {
+        sender,
+        address: address.to_owned(),
+        expires_at: None,
+        is_reused: false,
+    })
+}
--- a/crates/jaypin_entry/src/calls/mod.rs
+++ b/crates/jaypin_entry/src/calls/mod.rs
@@ -1,12 +1,13 @@
-//! Calls to backend servers.
+//! HTTP calls to backend servers, the store and peers.
 
-mod connections;
+mod buffered_response;
+mod connection_pool;
 mod event_id;
-mod whole_answer;
 
-pub use connections::{CallError, Connection, Connections, DEFAULT_LIMITS, connect};
+pub use buffered_response::{BufferedResponse, read_response};
+
+pub use connection_pool::{CallError, Connection, ConnectionPool, DEFAULT_TIMEOUTS, connect};
 pub use event_id::event_id;
-pub use whole_answer::{WholeAnswer, read_whole};
 
 use std::time::Duration;
 
@@ -14,23 +15,23 @@
 use jaypin_router::{DecisionInputs, Repeat, Requester};
 use tokio::time::Instant;
 
-/// Where and how a request is sent.
+/// Where and how a request is sent to a backend server.
 #[derive(Debug, Clone)]
 pub struct SendOrder {
-    /// The backend server.
+    /// The selected backend server.
     pub backend: BackendId,
-    /// Its address.
+    /// Address of the backend server.
     pub address: String,
-    /// Who asks; the account is named to it.
-    pub asked_by: Requester,
-    /// Whether it may run again, and whether its answer is a stream.
+    /// Client account and rank of the request; the account is sent to the backend server.
+    pub requester: Requester,
+    /// Whether the request may run again, and whether its response is a stream.
     pub repeat: Repeat,
-    /// Time after which a call without a first event is given up.
-    pub silence: Option<Duration>,
-    /// Pause between two events after which a stream is given up.
-    pub longest_pause: Option<Duration>,
-    /// When the whole answer is due.
+    /// Time after which a call without a first event is abandoned; `None` if it never is.
+    pub first_event_timeout: Option<Duration>,
+    /// Time between two events after which a stream is abandoned; `None` if it never is.
+    pub stall_timeout: Option<Duration>,
+    /// Time at which the whole response is due.
     pub deadline: Instant,
-    /// What the choice rests on.
-    pub grounds: DecisionInputs,
+    /// Inputs of the decision, for the request's log line.
+    pub inputs: DecisionInputs,
 }
--- a/crates/jaypin_entry/src/host.rs
+++ b/crates/jaypin_entry/src/host.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a host share.
+//! State that is shared by all tasks of a host: the reducer, connections and per-request mailboxes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,24 +13,24 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::{Instant, sleep_until};
 
-use crate::calls::{Connections, SendOrder};
+use crate::calls::{ConnectionPool, SendOrder};
 use crate::peers::PeerSocket;
 use crate::ports::{HostSettings, Object, Platform};
 
-/// What the task of a request is told to do next.
+/// The next step of a request, sent by the reducer to the task of the request.
 #[derive(Debug)]
 pub enum Directive {
-    /// Send it to a backend server.
+    /// Send the request to a backend server.
     Send(SendOrder),
-    /// Answer that the configuration does not allow it.
+    /// Respond that the configuration has no route or no such credential.
     Reject(Unrouted, DecisionInputs),
-    /// Answer with a refusal.
+    /// Respond with a refusal.
     Refuse(Refusal, Option<Requester>, DecisionInputs),
-    /// Answer with the failure that a backend server gave.
-    PassOn,
+    /// Respond with the error response that a backend server returned.
+    ForwardFailure,
 }
 
-/// Where the reducer's word for one request waits for its task.
+/// Holds at most one directive of the reducer until the task of the request takes it.
 #[derive(Debug, Default)]
 pub struct Mailbox {
     directive: RefCell<Option<Directive>>,
@@ -38,7 +38,7 @@
 }
 
 impl Mailbox {
-    /// Waits for the next word.
+    /// Waits for the next directive.
     pub async fn next(&self) -> Directive {
         loop {
             if let Some(directive) = self.directive.borrow_mut().take() {
@@ -54,29 +54,29 @@
     }
 }
 
-/// One host: its reducer and everything that effects touch.
+/// One host: its reducer and the resources on which effects are carried out.
 #[derive(Debug)]
 pub struct Host {
-    /// The adapter.
+    /// The adapter to the platform.
     pub platform: Rc<dyn Platform>,
-    /// Settings at the start.
+    /// Settings as read at start.
     pub settings: HostSettings,
-    /// Connections to backend servers.
-    pub connections: Connections,
-    /// Reports to and from peers.
+    /// Pooled connections to backend servers.
+    pub connections: ConnectionPool,
+    /// Socket for reports to and from peers.
     pub peers: PeerSocket,
     router: RefCell<Router>,
-    /// The configuration in use as the store has it, for peers that ask.
+    /// The store's object of the configuration in use, which is served to peers.
     configuration: RefCell<Option<Rc<Object>>>,
     mailboxes: RefCell<HashMap<RequestNumber, Rc<Mailbox>>>,
     next_number: Cell<RequestNumber>,
     planned_tick: Cell<Option<Instant>>,
-    tick_moved: Notify,
+    tick_rescheduled: Notify,
     rollout_writes: UnboundedSender<RolloutWrite>,
 }
 
 impl Host {
-    /// Puts a host together.
+    /// Creates a host without a configuration and without requests.
     pub fn new(
         platform: Rc<dyn Platform>,
         settings: HostSettings,
@@ -87,24 +87,24 @@
         Self {
             platform,
             settings,
-            connections: Connections::default(),
+            connections: ConnectionPool::default(),
             peers,
             router: RefCell::new(router),
             configuration: RefCell::default(),
             mailboxes: RefCell::default(),
             next_number: Cell::new(1),
             planned_tick: Cell::new(None),
-            tick_moved: Notify::new(),
+            tick_rescheduled: Notify::new(),
             rollout_writes,
         }
     }
 
-    /// Gives an event to the reducer and carries out what it says.
+    /// Applies an event to the reducer and carries out the effects.
     pub fn apply(&self, event: Event) {
         let now = Instant::now().into_std();
         let effects = self.router.borrow_mut().apply(now, event);
         for effect in effects {
-            self.run(effect);
+            self.run_effect(effect);
         }
         let next_tick = self.next_tick();
         if self
@@ -113,18 +113,18 @@
             .is_none_or(|planned| next_tick < planned)
         {
             self.planned_tick.set(Some(next_tick));
-            self.tick_moved.notify_one();
+            self.tick_rescheduled.notify_one();
         }
     }
 
-    /// Waits until the reducer wants to hear of time.
+    /// Waits until the reducer's next tick is due.
     pub async fn wait_for_tick(&self) {
         loop {
             let at = self.next_tick();
             self.planned_tick.set(Some(at));
             tokio::select! {
                 () = sleep_until(at) => break,
-                () = self.tick_moved.notified() => {}
+                () = self.tick_rescheduled.notified() => {}
             }
         }
         self.planned_tick.set(None);
@@ -135,28 +135,28 @@
         self.router.borrow().next_tick(now).into()
     }
 
-    /// Keeps the configuration in use as the store has it.
-    pub fn keep_configuration(&self, object: Object) {
+    /// Sets the store's object of the configuration in use.
+    pub fn set_configuration(&self, object: Object) {
         *self.configuration.borrow_mut() = Some(Rc::new(object));
     }
 
-    /// The configuration in use as the store has it.
+    /// Returns the store's object of the configuration in use, or `None` before the first one.
     pub fn configuration(&self) -> Option<Rc<Object>> {
         self.configuration.borrow().clone()
     }
 
-    /// Looks at the decision state.
-    pub fn look<T>(&self, look: impl FnOnce(&Router) -> T) -> T {
-        look(&self.router.borrow())
+    /// Reads the reducer's state.
+    pub fn read<T>(&self, read: impl FnOnce(&Router) -> T) -> T {
+        read(&self.router.borrow())
     }
 
-    /// Whether a request that was chosen for a backend server may still be sent there.
-    pub fn still_takes(&self, backend: &str) -> bool {
+    /// Checks whether a request that was assigned to a backend server may still be sent there.
+    pub fn may_send_to(&self, backend: &str) -> bool {
         let now = Instant::now().into_std();
         self.router.borrow().still_accepts(backend, now)
     }
 
-    /// Opens the mailbox of a new request.
+    /// Assigns a number to a new request and opens its mailbox.
     pub fn open_mailbox(&self) -> (RequestNumber, Rc<Mailbox>) {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -165,66 +165,70 @@
         (number, mailbox)
     }
 
-    /// Closes the mailbox of a request that is over.
+    /// Closes the mailbox of a request that has ended.
     pub fn close_mailbox(&self, number: RequestNumber) {
         self.mailboxes.borrow_mut().remove(&number);
     }
 
-    fn run(&self, effect: Effect) {
+    fn run_effect(&self, effect: Effect) {
         match effect {
             Effect::Send {
                 number,
                 backend,
                 address,
-                requester: asked_by,
+                requester:
+                asked_by,
                 repeat,
-                first_event_timeout: silence,
-                stall_timeout: longest_pause,
+                first_event_timeout,
+                stall_timeout,
                 deadline,
-                inputs: grounds,
+                inputs,
             } => {
                 let order = SendOrder {
                     backend,
                     address,
+                    requester:
                     asked_by,
                     repeat,
-                    silence,
-                    longest_pause,
+                    first_event_timeout,
+                    stall_timeout,
                     deadline: deadline.into(),
-                    grounds,
+                    inputs,
                 };
-                self.direct(number, Directive::Send(order));
+                self.send_directive(number, Directive::Send(order));
             }
             Effect::Reject {
                 number,
                 reason,
-                inputs: grounds,
-            } => self.direct(number, Directive::Reject(reason, grounds)),
+                inputs,
+            } => self.send_directive(number, Directive::Reject(reason, inputs)),
             Effect::Refuse {
                 number,
-                requester: asked_by,
+                requester:
+                asked_by,
                 refusal,
-                inputs: grounds,
-            } => self.direct(number, Directive::Refuse(refusal, asked_by, grounds)),
-            Effect::ForwardFailure(number) => self.direct(number, Directive::PassOn),
-            Effect::WriteRollout(write) => self.write_rollout(write),
-            Effect::SendReport { to, report } => self.tell(&to, &report),
+                inputs,
+            } => self.send_directive(number, Directive::Refuse(refusal, asked_by, inputs)),
+            Effect::ForwardFailure(number) => { self.send_directive(number, Directive::ForwardFailure);
+            }
+            Effect::WriteRollout(write) => self.queue_rollout_write(write),
+            Effect::SendReport { to, report } => self.send_report(&to, &report),
         }
     }
 
-    fn direct(&self, number: RequestNumber, directive: Directive) {
+    fn send_directive(&self, number: RequestNumber, directive: Directive) {
         if let Some(mailbox) = self.mailboxes.borrow().get(&number) {
             mailbox.put(directive);
         }
     }
 
-    fn write_rollout(&self, write: RolloutWrite) {
+    fn queue_rollout_write(&self, write: RolloutWrite) {
         if self.rollout_writes.send(write).is_err() {
-            log::error!("the task that writes rollouts has ended");
+            log::error!("the rollout writer task has ended; a rollout state is not written");
         }
     }
 
-    fn tell(&self, to: &[SocketAddr], report: &jaypin_router::Report) {
-        self.peers.tell(to, report);
+    fn send_report(&self, to: &[SocketAddr], report: &jaypin_router::Report) {
+        self.peers.send(to, report);
     }
 }
--- a/crates/jaypin_entry/src/peers/mod.rs
+++ b/crates/jaypin_entry/src/peers/mod.rs
@@ -1,16 +1,16 @@
-//! What hosts tell and ask each other.
+//! Communication between hosts: reports as datagrams, and snapshots over connections.
 //!
-//! Reports are datagrams, since one that is late is worth nothing: the next one says more. A
-//! connection would hold reports back behind a lost one.
+//! Reports are datagrams because a late report is worthless: the next one replaces it. A
+//! connection would delay reports behind a lost one.
 
-mod heard;
+mod live_peers;
 mod snapshot;
 mod wire;
 
-pub use heard::HeardPeers;
-pub use snapshot::{ask_configuration, ask_entries, serve_snapshots};
+pub use live_peers::LivePeers;
+pub use snapshot::{fetch_configuration, fetch_entries, serve_snapshots};
 pub use wire::{
-    HandedConfiguration, WireError, decode_configuration, decode_entries, decode_report,
+    ConfigurationSnapshot, WireError, decode_configuration, decode_entries, decode_report,
     encode_configuration, encode_entries, encode_report,
 };
 
@@ -23,50 +23,50 @@
 use crate::boot_clock::boot_time;
 use crate::host::Host;
 
-/// Largest datagram: the load of 600 backend servers takes 10 KB.
-const MAX_DATAGRAM: usize = 60_000;
+/// Size of the receive buffer. The load of 600 backend servers takes 10 KB of a report.
+const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// Where reports come and go.
+/// UDP socket on which reports are sent and received.
 #[derive(Debug)]
 pub struct PeerSocket {
     socket: UdpSocket,
 }
 
 impl PeerSocket {
-    /// Opens it.
+    /// Binds the socket.
     ///
     /// # Errors
-    /// Gives what the system gave.
+    /// Fails if the address can't be bound.
     pub async fn open(address: SocketAddr) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(address).await?;
         Ok(Self { socket })
     }
 
-    /// Tells a report; what can't be sent now is not sent.
-    pub fn tell(&self, to: &[SocketAddr], report: &Report) {
+    /// Sends a report to each address. A datagram that can't be sent at once is dropped.
+    pub fn send(&self, to: &[SocketAddr], report: &Report) {
         let bytes = match encode_report(report) {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!(error:%; "a report can't be encoded");
+                log::error!(error:%; "encoding a report failed; it is not sent");
                 return;
             }
         };
         for address in to {
             if let Err(error) = self.socket.try_send_to(&bytes, *address) {
-                log::debug!(peer:% = address, error:%; "a report was not sent");
+                log::debug!(peer:% = address, error:%; "sending a report to a peer failed; it is dropped");
             }
         }
     }
 }
 
-/// Takes peers' reports until the task is dropped.
-pub async fn hear_peers(host: Rc<Host>) {
-    let mut buf = vec![0; MAX_DATAGRAM];
+/// Receives peers' reports and applies them until the task is dropped.
+pub async fn receive_reports(host: Rc<Host>) {
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match host.peers.socket.recv_from(&mut buf).await {
             Ok(received) => received,
             Err(error) => {
-                log::debug!(error:%; "a report was not received");
+                log::debug!(error:%; "receiving a report failed");
                 continue;
             }
         };
@@ -75,7 +75,7 @@
                 let (report, boot_time) = (Box::new(report), boot_time());
                 host.apply(Event::ReportReceived { report, boot_time });
             }
-            Err(error) => log::warn!(peer:% = from, error:%; "a report makes no sense"),
+            Err(error) => log::warn!(peer:% = from, error:%; "invalid report from a peer; ignored"),
         }
     }
 }
--- a/crates/jaypin_entry/src/serve.rs
+++ b/crates/jaypin_entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! Puts an entry host together and runs it until it is told to leave.
+//! Starts an entry host and runs it until it receives SIGTERM and has drained.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,55 +14,55 @@
 use tokio::time::{Instant, sleep};
 
 use crate::boot_clock::boot_time;
-use crate::callers::{Leaving, listen, serve_callers, serve_questions};
+use crate::callers::{DrainPhase, listen, serve_callers, serve_queries};
 use crate::host::Host;
 use crate::metrics;
-use crate::peers::{HeardPeers, PeerSocket, hear_peers, serve_snapshots};
+use crate::peers::{LivePeers, PeerSocket, receive_reports, serve_snapshots};
 use crate::ports::{HostSettings, Platform};
 use crate::store::{
     follow_backends, follow_configuration, follow_rollouts, join_fleet, write_rollouts,
 };
 
-/// Pause between two looks at idle connections.
-const SWEEP_PAUSE: Duration = Duration::from_secs(1);
-/// Time for which a leaving host stays though it is idle: callers that have not heard of
-/// it get an answer instead of a refused connection.
-const LEAST_LEAVING: Duration = Duration::from_secs(3);
-/// Pause between two looks at whether everything has ended.
-const LEAVING_PAUSE: Duration = Duration::from_millis(50);
-/// Part of the grace after which the host leaves with requests unfinished.
-const GRACE_PART: f64 = 0.96;
-/// Descriptors that are left to files.
-const FILE_DESCRIPTORS: u64 = 16;
+/// Time between two sweeps of idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Shortest time that a drain takes, also without requests: callers that do not know yet that
+/// the host drains get a response instead of a refused connection.
+const MIN_DRAIN_TIME: Duration = Duration::from_secs(3);
+/// Time between two checks whether all requests have ended.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Fraction of the grace period after which the host exits with requests unfinished.
+const GRACE_FRACTION: f64 = 0.96;
+/// Least number of file descriptors that is requested from the system: those that files need.
+const MIN_OPEN_FILES: u64 = 16;
 
-/// What the command line says of a host.
+/// Command line options of a host.
 #[derive(Debug, Clone)]
 pub struct ServeOptions {
-    /// The platform's settings file.
+    /// Path of the platform's settings file.
     pub settings: PathBuf,
-    /// Port on which metrics are scraped; without one nothing is counted.
+    /// Port on which metrics are served; without one no metrics are recorded.
     pub metrics_port: Option<u16>,
 }
 
-/// Runs a host to its end.
+/// Runs a host until it has drained.
 ///
 /// # Errors
-/// Says what keeps it from starting.
+/// Fails if the settings are invalid or an address can't be opened.
 pub fn serve(platform: Rc<dyn Platform>, options: &ServeOptions) -> Result<(), String> {
     let name = options.settings.display();
     let text =
         std::fs::read_to_string(&options.settings).map_err(|error| format!("{name}: {error}"))?;
-    let read = platform.parse_settings(&text);
-    let read = read.map_err(|error| format!("{name}: {error}"))?;
-    let limit = read.max_open_files.max(FILE_DESCRIPTORS);
+    let settings = platform.parse_settings(&text);
+    let settings = settings.map_err(|error| format!("{name}: {error}"))?;
+    let limit = settings.max_open_files.max(MIN_OPEN_FILES);
     if let Err(error) = rlimit::increase_nofile_limit(limit) {
-        log::warn!(error:%; "can't raise the limit of open files");
+        log::warn!(error:%; "raising the limit of open files failed; continuing with the current one");
     }
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|error| error.to_string())?;
-    LocalSet::new().block_on(&runtime, run(platform, read, options.metrics_port))
+    LocalSet::new().block_on(&runtime, run(platform, settings, options.metrics_port))
 }
 
 async fn run(
@@ -85,9 +85,11 @@
         listen(settings.directory_address),
         settings.directory_address,
     )?;
-    let scraped = metrics_port.map(|port| SocketAddr::new(settings.caller_address.ip(), port));
-    let scraped = scraped.map(|address| open("metrics", listen(address), address));
-    let scraped = scraped.transpose()?;
+    let metrics_listener =
+        metrics_port.map(|port| SocketAddr::new(settings.caller_address.ip(), port));
+    let metrics_listener =
+        metrics_listener.map(|address| open("metrics", listen(address), address));
+    let metrics_listener = metrics_listener.transpose()?;
     let snapshots = open(
         "snapshots",
         listen(settings.peer_address),
@@ -97,90 +99,92 @@
     let peers = open("peers", peers, settings.peer_address)?;
     let mut term = on_signal(SignalKind::terminate())?;
     let hang_up = on_signal(SignalKind::hangup())?;
-    let run = rand::rng().random();
+    let incarnation = rand::rng().random();
     let router = Router::new(RouterConfig {
         host: settings.host.clone(),
-        incarnation: run,
+        incarnation,
         peer_address: settings.peer_address,
         caller_address: settings.caller_address,
         failure_domain: settings.failure_domain.clone(),
-        seed: run,
+        seed: incarnation,
         bounds: settings.bounds.clone(),
     });
-    log::info!(host:% = settings.host, run, callers:% = settings.caller_address; "started");
+    log::info!(host:% = settings.host, run = incarnation, callers:% = settings.caller_address; "started");
     let (rollout_writes, rollout_orders) = mpsc::unbounded_channel();
     let host = Host::new(platform, settings, router, peers, rollout_writes);
     let host = Rc::new(host);
-    let (show, leaving) = watch::channel(Leaving::No);
+    let (phase, phase_receiver) = watch::channel(DrainPhase::Serving);
     spawn_local(follow_configuration(host.clone()));
     spawn_local(follow_backends(host.clone()));
     spawn_local(follow_rollouts(host.clone()));
     spawn_local(write_rollouts(host.clone(), rollout_orders));
     spawn_local(join_fleet(host.clone()));
-    spawn_local(hear_peers(host.clone()));
+    spawn_local(receive_reports(host.clone()));
     spawn_local(serve_snapshots(host.clone(), snapshots));
-    spawn_local(keep_time(host.clone()));
-    spawn_local(serve_questions(host.clone(), readiness));
-    spawn_local(serve_questions(host.clone(), directory));
-    if let Some(listener) = scraped {
+    spawn_local(run_timer(host.clone()));
+    spawn_local(serve_queries(host.clone(), readiness));
+    spawn_local(serve_queries(host.clone(), directory));
+    if let Some(listener) = metrics_listener {
         metrics::start()?;
-        spawn_local(serve_questions(host.clone(), listener));
+        spawn_local(serve_queries(host.clone(), listener));
     }
-    spawn_local(serve_callers(host.clone(), callers, leaving));
-    spawn_local(note_hang_ups(hang_up));
+    spawn_local(serve_callers(host.clone(), callers, phase_receiver));
+    spawn_local(log_hang_ups(hang_up));
     term.recv().await;
-    leave(&host, &show).await;
+    drain(&host, &phase).await;
     Ok(())
 }
 
+/// Adds the address and its purpose to the error of opening it.
 fn open<T>(
-    what: &str,
+    purpose: &str,
     opened: std::io::Result<T>,
     address: std::net::SocketAddr,
 ) -> Result<T, String> {
-    opened.map_err(|error| format!("{what} {address}: {error}"))
+    opened.map_err(|error| format!("opening {address} for {purpose} failed: {error}"))
 }
 
 fn on_signal(kind: SignalKind) -> Result<Signal, String> {
-    signal(kind).map_err(|error| error.to_string())
+    signal(kind).map_err(|error| format!("registering a signal handler failed: {error}"))
 }
 
-async fn keep_time(host: Rc<Host>) {
+/// Applies the reducer's ticks, closes expired connections and logs changes of live peers.
+async fn run_timer(host: Rc<Host>) {
     let mut swept_at = Instant::now();
-    let mut heard = HeardPeers::default();
+    let mut live_peers = LivePeers::default();
     loop {
         host.wait_for_tick().await;
         host.apply(Event::Tick(boot_time()));
-        if swept_at.elapsed() >= SWEEP_PAUSE {
+        if swept_at.elapsed() >= SWEEP_INTERVAL {
             swept_at = Instant::now();
             host.connections.close_expired();
-            heard.note(&host);
+            live_peers.log_changes(&host);
         }
     }
 }
 
-/// The settings that can change while a host runs are those it does not use after its
-/// start, so a signal is written down and changes nothing.
-async fn note_hang_ups(mut hang_up: Signal) {
+/// Logs each SIGHUP. The settings that may change while a host runs are not used after its
+/// start, so there is nothing to reload.
+async fn log_hang_ups(mut hang_up: Signal) {
     while hang_up.recv().await.is_some() {
-        log::info!("told that the settings changed");
+        log::info!("SIGHUP received; no setting can be reloaded");
     }
 }
 
-/// Finishes what the host has, within its grace.
-async fn leave(host: &Host, show: &watch::Sender<Leaving>) {
+/// Finishes the requests of the host, within its grace period.
+async fn drain(host: &Host, phase: &watch::Sender<DrainPhase>) {
     let since = Instant::now();
-    log::info!("leaving");
+    log::info!("draining");
     host.apply(Event::Drain);
-    show.send_replace(Leaving::AnswersClose);
-    sleep(LEAST_LEAVING).await;
-    show.send_replace(Leaving::IdleCloses);
-    let grace = host.settings.bounds.shutdown_grace.mul_f64(GRACE_PART);
-    while !host.look(jaypin_router::Router::is_idle) && since.elapsed() < grace {
-        sleep(LEAVING_PAUSE).await;
+    phase.send_replace(DrainPhase::CloseAfterResponse);
+    sleep(MIN_DRAIN_TIME).await;
+    phase.send_replace(DrainPhase::CloseIdle);
+    let grace = host.settings.bounds.shutdown_grace.mul_f64(GRACE_FRACTION);
+    while !host.read(Router::is_idle) && since.elapsed() < grace {
+        sleep(DRAIN_CHECK_INTERVAL).await;
     }
-    // Answers that were given are still on their way to their callers.
-    sleep(LEAVING_PAUSE).await;
-    let counts = host.look(|router| router.counts(Instant::now().into_std()));
-    log::info!(unfinished = counts.running + counts.waiting; "left");
+    // The last responses are still being written to their callers.
+    sleep(DRAIN_CHECK_INTERVAL).await;
+    let counts = host.read(|router| router.counts(Instant::now().into_std()));
+    log::info!(unfinished = counts.running + counts.waiting; "drain ended; exiting");
 }
--- a/crates/jaypin_entry/src/store/backends.rs
+++ b/crates/jaypin_entry/src/store/backends.rs
@@ -1,4 +1,4 @@
-//! Follows the backend servers' registrations.
+//! Follows the registrations of backend servers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,63 +10,65 @@
 use super::client::{StoreClient, StoreError};
 use super::{Retries, WATCH_PAUSE, follows_store, now, wait_until};
 use crate::host::Host;
-use crate::peers::ask_entries;
+use crate::peers::fetch_entries;
 use crate::ports::{Collection, Freshness, Object, ObjectChange};
 
-/// How long one watch waits. Answers come at once when something changes; a connection
-/// that went silent is noticed after this time and a call's.
-const WATCH: Duration = Duration::from_secs(4);
+/// Time for which one watch waits. It returns at once when something changes; a dead connection
+/// is detected after this time plus the timeout of a call.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time within which entries that a peer handed over should have made this host know what
-/// hosts that watch know; else the store is asked.
-const HANDED_FOR: Duration = Duration::from_secs(3);
+/// Time after entries were fetched from a peer within which this host should have the same
+/// entries as the watchers; after it the store is read.
+const SNAPSHOT_GRACE: Duration = Duration::from_secs(3);
 
-/// Follows the backend servers until the task is dropped: by watches if this host is to
-/// watch, else by what its peers tell, and by asking for all when that differs for long.
+/// Follows the backend servers until the task is dropped: by watches if this host is a watcher,
+/// else by its peers' reports. If its entries differ from a watcher's for too long, it reads all
+/// entries from a peer or the store.
 pub async fn follow_backends(host: Rc<Host>) {
     let mut client = StoreClient::new(&host);
     let mut retries = Retries::default();
     let mut freshness = Freshness::AllowStale;
-    let mut handed_at: Option<Instant> = None;
+    let mut fetched_at: Option<Instant> = None;
     loop {
-        if retries.has_ended_well() {
+        if retries.has_succeeded() {
             wait_until(&host, |router| {
                 follows_store(router) || router.has_diverging_entries(now())
             })
             .await;
-            let is_handed = handed_at.is_some_and(|at| at.elapsed() < HANDED_FOR);
-            if !host.look(follows_store) && !is_handed && take_from_peer(&host).await {
-                handed_at = Some(Instant::now());
+            let is_recently_fetched = fetched_at.is_some_and(|at| at.elapsed() < SNAPSHOT_GRACE);
+            if !host.read(follows_store) && !is_recently_fetched && fetch_from_peer(&host).await {
+                fetched_at = Some(Instant::now());
                 continue;
             }
         }
         match follow(&host, &mut client, freshness).await {
             Ok(()) => {
-                retries.ended_well();
+                retries.record_success();
                 freshness = Freshness::Newest;
             }
-            Err(error) => retries.pause_after(&host, "backend servers", &error).await,
+            Err(error) => retries.back_off(&host, "backend servers", &error).await,
         }
     }
 }
 
-async fn take_from_peer(host: &Host) -> bool {
-    let Some(entries) = ask_entries(host).await else {
+/// Fetches all entries from a peer. Returns whether one responded.
+async fn fetch_from_peer(host: &Host) -> bool {
+    let Some(entries) = fetch_entries(host).await else {
         return false;
     };
-    log::info!(count = entries.len(); "entries handed over");
+    log::info!(count = entries.len(); "backend server entries fetched from a peer");
     host.apply(Event::EntriesTransferred(entries));
     true
 }
 
-/// Reads all, then watches for as long as this host is to; a host that has just started and
-/// doesn't watch takes what may lag, and hears from its peers what changed since.
+/// Reads all entries, then watches for as long as this host is a watcher. A host that has just
+/// started and does not watch accepts stale entries, and receives later changes from its peers.
 async fn follow(
     host: &Host,
     client: &mut StoreClient<'_>,
     freshness: Freshness,
 ) -> Result<(), StoreError> {
-    let freshness = if host.look(follows_store) {
+    let freshness = if host.read(follows_store) {
         Freshness::Newest
     } else {
         freshness
@@ -74,31 +76,35 @@
     let (objects, mut point) = client.list(Collection::Backends, freshness).await?;
     let entries: Vec<_> = objects
         .iter()
-        .filter_map(|object| Some((read(host, object)?, object.point)))
+        .filter_map(|object| Some((parse_entry(host, object)?, object.point)))
         .collect();
-    log::info!(count = entries.len(), point:?; "backend servers listed");
+    log::info!(count = entries.len(), point:?; "backend server entries listed");
     host.apply(Event::BackendsListed { entries, point });
-    while host.look(follows_store) {
-        let Some(news) = client.watch(Collection::Backends, point, WATCH).await? else {
+    while host.read(follows_store) {
+        let Some(updates) = client
+            .watch(Collection::Backends, point, WATCH_TIMEOUT)
+            .await?
+        else {
             return Ok(());
         };
-        for change in &news.changes {
-            let change = entry_change(host, change, news.point);
-            log::info!(change:?; "backend server");
+        for change in &updates.changes {
+            let change = entry_change(host, change, updates.point);
+            log::info!(change:?; "backend server entry changed");
             host.apply(Event::BackendChanged(change));
         }
-        point = news.point;
-        if !news.changes.is_empty() {
+        point = updates.point;
+        if !updates.changes.is_empty() {
             sleep(WATCH_PAUSE).await;
         }
     }
     Ok(())
 }
 
-/// An entry that can't be read names no backend server to use.
+/// Converts a change of the store. An invalid entry counts as removed, so that its backend
+/// server is not used.
 fn entry_change(host: &Host, change: &ObjectChange, point: StorePoint) -> EntryChange {
     let object = &change.object;
-    match read(host, object).filter(|_| !change.is_removed) {
+    match parse_entry(host, object).filter(|_| !change.is_removed) {
         Some(record) => EntryChange::Stated {
             record,
             point: object.point,
@@ -110,11 +116,12 @@
     }
 }
 
-fn read(host: &Host, object: &Object) -> Option<BackendRecord> {
+/// Parses an entry, and logs one that is invalid.
+fn parse_entry(host: &Host, object: &Object) -> Option<BackendRecord> {
     match host.platform.parse_backend(object) {
         Ok(record) => Some(record),
         Err(error) => {
-            log::warn!(name = object.name, error:%; "an entry that is no backend server");
+            log::warn!(name = object.name, error:%; "invalid backend server entry in the store; treated as absent");
             None
         }
     }
--- a/crates/jaypin_entry/src/store/hosts.rs
+++ b/crates/jaypin_entry/src/store/hosts.rs
@@ -1,4 +1,4 @@
-//! Registers this host and finds the others.
+//! Registers this host and discovers the other hosts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,65 +13,71 @@
 use crate::host::Host;
 use crate::ports::{Collection, Freshness, HostRecord, Object};
 
-/// Pause between two looks at whether a peer is heard that was not listed.
-const LOOK_PAUSE: Duration = Duration::from_secs(1);
-/// Pause between two listings for the sake of such peers, and its spread: a new host is heard
-/// by its whole cell at once.
-const LIST_PAUSE: Duration = Duration::from_secs(3);
+/// Time between two checks for a live peer that was not listed.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Mean pause between two listings because of such peers.
+const LIST_INTERVAL: Duration = Duration::from_secs(3);
+/// Random factor on the pause: a new host's reports reach its whole cell at once.
 const LIST_SPREAD: std::ops::Range<f64> = 0.3..1.7;
 
-/// Age of a registration from which on each copy of the store has it: copies are seconds old.
-const COPY_AGE: Duration = Duration::from_mins(1);
+/// Age from which on a registration is contained in every copy of the store: copies are only
+/// seconds old.
+const REPLICATION_TIME: Duration = Duration::from_mins(1);
 
-/// Registers this host, then reads who else has registered, and again when a peer is heard
-/// that was not listed. A store that came back from an older copy may have lost a young
+/// Registers this host and lists the registered hosts, and lists them again when a live peer is
+/// not among them. If the store was restored from an older copy, it may have lost a recent
 /// registration, which is then written again.
 ///
-/// Nobody watches these entries: each host tells those that it finds, and who registers
-/// later finds it. Of two hosts that start together at least one sees the other's entry,
+/// No host watches these entries: each host sends reports to the hosts that it lists, and hosts
+/// that register later list it. Of two hosts that start together at least one lists the other,
 /// since both write before they read.
 pub async fn join_fleet(host: Rc<Host>) {
     let mut client = StoreClient::new(&host);
     let mut retries = Retries::default();
-    while let Err(error) = join(&host, &mut client).await {
-        retries.pause_after(&host, "registration", &error).await;
+    while let Err(error) = ensure_registered(&host, &mut client).await {
+        retries.back_off(&host, "registration", &error).await;
     }
     let joined_at = Instant::now();
-    let mut era = host.look(Router::store_era);
+    let mut era = host.read(Router::store_era);
     loop {
         let spread = rand::rng().random_range(LIST_SPREAD);
-        sleep(LIST_PAUSE.mul_f64(spread)).await;
-        while !hears_unlisted(&host) && era == host.look(Router::store_era) {
-            sleep(LOOK_PAUSE).await;
+        sleep(LIST_INTERVAL.mul_f64(spread)).await;
+        while !has_unlisted_peer(&host) && era == host.read(Router::store_era) {
+            sleep(CHECK_INTERVAL).await;
         }
-        let before = std::mem::replace(&mut era, host.look(Router::store_era));
-        let may_be_lost = before.is_some() && before != era && joined_at.elapsed() < COPY_AGE;
-        if may_be_lost && let Err(error) = join(&host, &mut client).await {
+        let before = std::mem::replace(&mut era, host.read(Router::store_era));
+        let may_be_lost =
+            before.is_some() && before != era && joined_at.elapsed() < REPLICATION_TIME;
+        if may_be_lost && let Err(error) = ensure_registered(&host, &mut client).await {
             era = before;
-            retries.pause_after(&host, "registration", &error).await;
+            retries.back_off(&host, "registration", &error).await;
             continue;
         }
-        if !hears_unlisted(&host) {
+        if !has_unlisted_peer(&host) {
             continue;
         }
         match client.list(Collection::Hosts, Freshness::AllowStale).await {
-            Ok((objects, _)) => find_all(&host, &objects),
-            Err(error) => log::info!(error:%; "hosts could not be listed again"),
+            Ok((objects, _)) => record_hosts(&host, &objects),
+            Err(error) => {
+                log::info!(error:%; "listing the registered hosts failed; retrying after a pause");
+            }
         }
     }
 }
 
-fn hears_unlisted(host: &Host) -> bool {
+fn has_unlisted_peer(host: &Host) -> bool {
     let now = Instant::now().into_std();
-    host.look(|router| router.has_unlisted_peer(now))
+    host.read(|router| router.has_unlisted_peer(now))
 }
 
-async fn join(host: &Host, client: &mut StoreClient<'_>) -> Result<(), StoreError> {
+/// Registers this host if the store has no current registration of it.
+async fn ensure_registered(host: &Host, client: &mut StoreClient<'_>) -> Result<(), StoreError> {
     let own = HostRecord {
         host: host.settings.host.clone(),
         peer_address: host.settings.peer_address,
     };
-    // One that has been there for long lists all that matter also if it lags.
+    // A stale listing suffices for a host that registered long ago: it contains all hosts that
+    // matter.
     let (objects, _) = client
         .list(Collection::Hosts, Freshness::AllowStale)
         .await?;
@@ -80,18 +86,19 @@
         let record = host.platform.parse_host(it);
         record.is_ok_and(|record| record == own)
     });
-    // Known at once, however long it takes to register: each host gives out its part of
-    // the quotas by how many there are.
-    find_all(host, &objects);
+    // The hosts are applied before this host registers, however long that takes: each host
+    // grants a share of the quotas that depends on the number of hosts.
+    record_hosts(host, &objects);
     if is_current {
         return Ok(());
     }
     register(host, client, &own, registered.map(|it| it.point.revision)).await?;
     let (objects, _) = client.list(Collection::Hosts, Freshness::Newest).await?;
-    find_all(host, &objects);
+    record_hosts(host, &objects);
     Ok(())
 }
 
+/// Writes the registration of this host, and replaces the given revision if there is one.
 async fn register(
     host: &Host,
     client: &mut StoreClient<'_>,
@@ -108,21 +115,23 @@
         client.write(Method::POST, &kind, body).await
     };
     match written {
-        // An earlier try whose answer was lost, or this host's process before this one.
+        // An earlier attempt whose response was lost, or a former process of this host, has
+        // registered it.
         Err(StoreError::Status { status }) if status == StatusCode::CONFLICT => Ok(()),
         other => other.map(drop),
     }
 }
 
-fn find_all(host: &Host, objects: &[Object]) {
+/// Passes the listed hosts to the reducer.
+fn record_hosts(host: &Host, objects: &[Object]) {
     let records = objects.iter().filter_map(|object| {
         let record = host.platform.parse_host(object);
         if let Err(error) = &record {
-            log::warn!(name = object.name, error:%; "an entry that is no host");
+            log::warn!(name = object.name, error:%; "invalid host entry in the store; ignored");
         }
         record.ok()
     });
     let hosts: Vec<_> = records.map(|it| (it.host, it.peer_address)).collect();
-    log::info!(count = hosts.len(); "hosts listed");
+    log::info!(count = hosts.len(); "registered hosts listed");
     host.apply(Event::HostsListed(hosts));
 }
