--- a/crates/jaypin_router/tests/rollout_fleet/main.rs
+++ b/crates/jaypin_router/tests/rollout_fleet/main.rs
@@ -1,4 +1,4 @@
-//! A fleet of hosts that brings in a new version: requests, delayed reports, one store.
+//! Rollouts in a simulated fleet of hosts, with requests, delayed reports and one store.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -7,15 +7,15 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-use fleet::{Answer, DELAY, Fleet, ORDER_TIME, ORDERED_AT, fails};
+use fleet::{Answer, DELAY, Fleet, ORDER_TIME_LIMIT, ORDERED_AT, fails};
 use jaypin_router::RolloutState;
 use rand_chacha::ChaCha8Rng;
 
-fn is_slow(_: Duration, _: &mut ChaCha8Rng) -> Answer {
+fn slow(_: Duration, _: &mut ChaCha8Rng) -> Answer {
     Answer::Slow
 }
 
-fn fails_a_little(_: Duration, rng: &mut ChaCha8Rng) -> Answer {
+fn fails_one_in_ten(_: Duration, rng: &mut ChaCha8Rng) -> Answer {
     fails(0.1, rng)
 }
 
@@ -39,41 +39,42 @@
     0..5
 }
 
-/// A good version is never brought in, or its trial takes more than its share.
+/// Guards against a good version that is never rolled out, and against a canary version that gets
+/// more than its share of requests.
 #[test]
 fn a_good_version_is_done_in_time() {
     for seed in seeds() {
         let mut fleet = Fleet::new(seed, good);
-        let seen = fleet.run_with(|fleet, _| {
-            let is_trial = !fleet.store.state.is_final();
+        let counts = fleet.run_with(|fleet, _| {
+            let is_in_progress = !fleet.stored_order.state.is_final();
             assert!(
-                !is_trial || fleet.seen.keeps_its_share(),
+                !is_in_progress || fleet.counts.keeps_its_share(),
                 "{:?}",
-                fleet.seen
+                fleet.counts
             );
         });
-        let (state, at) = seen.ended.expect("an end");
+        let (state, at) = counts.ended.expect("an end");
         assert_eq!(state, RolloutState::Done, "seed {seed}");
-        assert!(at < ORDER_TIME, "seed {seed}: {at:?}");
-        assert!(seen.writes <= 4, "{seen:?}");
+        assert!(at < ORDER_TIME_LIMIT, "seed {seed}: {at:?}");
+        assert!(counts.store_writes <= 4, "{counts:?}");
     }
 }
 
 macro_rules! bad_versions {
     ($($name:ident: $answers:expr, most $most:literal;)*) => {$(
-        /// Callers are served by a bad version for longer than it takes to see that it is.
+        /// Guards against a bad version that serves callers for longer than its detection takes.
         #[test]
         fn $name() {
             let mut bad = Vec::new();
             for seed in seeds() {
                 let mut fleet = Fleet::new(seed, $answers);
-                let seen = fleet.run();
-                let (state, _) = seen.ended.expect("an end");
+                let counts = fleet.run();
+                let (state, _) = counts.ended.expect("an end");
                 assert_eq!(state, RolloutState::RolledBack, "seed {seed}");
-                assert!(seen.keeps_its_share(), "seed {seed}: {seen:?}");
-                assert_eq!(seen.new_after_end, 0, "seed {seed}");
-                assert!(seen.bad < 50, "seed {seed}: {seen:?}");
-                bad.push(seen.bad);
+                assert!(counts.keeps_its_share(), "seed {seed}: {counts:?}");
+                assert_eq!(counts.new_after_rollback, 0, "seed {seed}");
+                assert!(counts.bad_new < 50, "seed {seed}: {counts:?}");
+                bad.push(counts.bad_new);
             }
             bad.sort_unstable();
             let median = bad[bad.len() / 2];
@@ -83,102 +84,106 @@
 }
 
 bad_versions! {
-    a_version_that_fails_at_once_is_given_up: fails_at_once, most 20;
-    a_version_that_fails_later_is_given_up: fails_later, most 20;
-    a_version_that_fails_a_little_is_given_up: fails_a_little, most 20;
-    a_slow_version_is_given_up: is_slow, most 40;
+    a_version_that_fails_at_once_is_rolled_back: fails_at_once, most 20;
+    a_version_that_fails_later_is_rolled_back: fails_later, most 20;
+    a_version_that_fails_one_in_ten_is_rolled_back: fails_one_in_ten, most 20;
+    a_slow_version_is_rolled_back: slow, most 40;
 }
 
-/// Hosts that start in the middle of a trial give out the share anew.
+/// Guards against hosts that restart in the middle of a rollout and grant the canary version its
+/// share once more.
 #[test]
 fn restarts_do_not_add_to_the_share() {
     for seed in seeds() {
         let mut fleet = Fleet::new(seed, good);
-        let seen = fleet.run_with(|fleet, since| {
+        let counts = fleet.run_with(|fleet, since| {
             let step = since.as_millis() / 20;
             if (200..600).contains(&step) && step % 10 == 0 {
                 let n = usize::try_from(step / 10).expect("small") % 12;
-                fleet.begin(n);
+                fleet.start_host(n);
             }
-            let is_trial = !fleet.store.state.is_final();
+            let is_in_progress = !fleet.stored_order.state.is_final();
             assert!(
-                !is_trial || fleet.seen.keeps_its_share(),
+                !is_in_progress || fleet.counts.keeps_its_share(),
                 "{:?}",
-                fleet.seen
+                fleet.counts
             );
         });
-        assert!(seen.new > 0);
+        assert!(counts.new_requests > 0);
     }
 }
 
-/// A host that can't hear of the end goes on sending to the new version.
+/// Guards against a host that keeps sending requests to the canary version while it is partitioned
+/// and can't learn that the rollout has ended.
 #[test]
-fn a_host_that_is_cut_off_sends_nothing_to_a_version_under_trial() {
+fn a_partitioned_host_sends_nothing_to_a_canary_version() {
     let mut fleet = Fleet::new(1, good);
-    let cut_at = ORDERED_AT + Duration::from_secs(2);
+    let partitioned_at = ORDERED_AT + Duration::from_secs(2);
     let grace = Duration::from_secs(3);
     let mut before = 0;
-    while fleet.now < fleet.start + cut_at + grace {
-        if fleet.now >= fleet.start + cut_at {
+    while fleet.now < fleet.start + partitioned_at + grace {
+        if fleet.now >= fleet.start + partitioned_at {
             for host in &mut fleet.hosts {
-                host.is_cut = true;
+                host.is_partitioned = true;
             }
         }
         fleet.step();
-        before = fleet.seen.new;
+        before = fleet.counts.new_requests;
     }
     for _ in 0..100 {
         fleet.step();
     }
-    assert_eq!(fleet.seen.new, before);
+    assert_eq!(fleet.counts.new_requests, before);
 }
 
-/// The host whose turn it is to write is gone, and nobody else does.
+/// Guards against an order that never ends because the host that should write its end is down.
 #[test]
-fn another_host_ends_an_order_when_the_first_is_gone() {
+fn another_host_ends_an_order_when_the_first_is_down() {
     for seed in seeds() {
         let mut fleet = Fleet::new(seed, fails_at_once);
-        let writers: HashSet<usize> = (2..11).collect();
-        let seen = fleet.run_with(|fleet, since| {
+        let stopped: HashSet<usize> = (2..11).collect();
+        let counts = fleet.run_with(|fleet, since| {
             if since < ORDERED_AT + DELAY {
                 return;
             }
-            for n in &writers {
+            for n in &stopped {
                 fleet.hosts[*n].is_up = false;
             }
         });
-        let state = seen.ended.map(|it| it.0);
+        let state = counts.ended.map(|it| it.0);
         assert_eq!(state, Some(RolloutState::RolledBack), "seed {seed}");
     }
 }
 
-/// A store that is away when a bad version is found keeps it in use.
+/// Guards against a bad version that stays in use because the store is unavailable when the version
+/// is detected as bad.
 #[test]
-fn a_bad_version_is_left_though_the_store_is_out() {
+fn a_bad_version_is_abandoned_during_a_store_outage() {
     for seed in seeds() {
         let mut fleet = Fleet::new(seed, fails_at_once);
-        let out = Duration::from_secs(3)..Duration::from_secs(9);
-        let seen = fleet.run_with(|fleet, since| {
+        let outage = Duration::from_secs(3)..Duration::from_secs(9);
+        let counts = fleet.run_with(|fleet, since| {
             let since = since.saturating_sub(ORDERED_AT);
-            fleet.store_is_out = since > Duration::from_millis(100) && since < out.end;
+            fleet.is_store_unavailable = since > Duration::from_millis(100) && since < outage.end;
         });
-        assert!(seen.bad < 50, "seed {seed}: {seen:?}");
-        let state = seen.ended.map(|it| it.0);
+        assert!(counts.bad_new < 50, "seed {seed}: {counts:?}");
+        let state = counts.ended.map(|it| it.0);
         assert_eq!(state, Some(RolloutState::RolledBack), "seed {seed}");
     }
 }
 
-/// A sound version is given up because all backend servers fail for a while.
+/// Guards against the rollback of a good version because the backend servers of both versions fail
+/// for a while.
 #[test]
-fn trouble_of_both_versions_speaks_against_none() {
-    fn troubled(since: Duration, rng: &mut ChaCha8Rng) -> Answer {
-        let is_troubled = (4_000..7_000).contains(&since.as_millis());
-        fails(if is_troubled { 0.4 } else { 0.0 }, rng)
+fn failures_of_both_versions_do_not_count_against_the_new_one() {
+    fn fails_for_a_while(since: Duration, rng: &mut ChaCha8Rng) -> Answer {
+        let is_failing = (4_000..7_000).contains(&since.as_millis());
+        fails(if is_failing { 0.4 } else { 0.0 }, rng)
     }
     let mut ends: BTreeMap<&str, u32> = BTreeMap::new();
     for seed in seeds() {
-        let mut fleet = Fleet::new(seed, troubled);
-        fleet.old_answers = troubled;
+        let mut fleet = Fleet::new(seed, fails_for_a_while);
+        fleet.old_answers = fails_for_a_while;
         let state = fleet.run().ended.map_or("open", |it| it.0.as_str());
         *ends.entry(state).or_default() += 1;
     }
--- a/crates/jaypin_router/tests/rollouts.rs
+++ b/crates/jaypin_router/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Orders for new versions at one host: what each version gets, and who ends an order.
+//! Rollout orders at one host: which requests each version gets, and how an order ends.
 
 mod common;
 
@@ -10,6 +10,8 @@
     StorePoint, VersionOutcomes,
 };
 
+/// Returns a rollout order to a version.
+
 fn order(to: &str, revision: u64, state: RolloutState) -> RolloutOrder {
     RolloutOrder {
         service: ENGINES.into(),
@@ -20,83 +22,89 @@
     }
 }
 
-/// A host before two old and two new engines.
-fn bed() -> TestHost {
-    let mut bed = bed_of_old();
+/// Returns a host with two engines of the old version and two of the new one.
+fn host_with_both_versions() -> TestHost {
+    let mut host = host_with_old_version();
     for (id, started) in [("new-1", 20), ("new-2", 21)] {
-        state(&mut bed, id, "v2", started);
+        set_engine(&mut host, id, "v2", started);
     }
-    bed
+    host
 }
 
-/// A host before two old engines.
-fn bed_of_old() -> TestHost {
-    let mut bed = TestHost::with_bounds(|bounds| {
+/// Returns a host with two engines of the old version.
+fn host_with_old_version() -> TestHost {
+    let mut host = TestHost::with_bounds(|bounds| {
         bounds.exposure = Some(ExposureBound {
             share: 0.5,
             slack: 50.0,
         });
     });
-    bed.configure(configuration(1));
-    bed.prove();
-    bed.tick();
+    host.configure(configuration(1));
+    host.prove();
+    host.tick();
     for (id, started) in [("old-1", 10), ("old-2", 11)] {
-        state(&mut bed, id, "v1", started);
+        set_engine(&mut host, id, "v1", started);
     }
-    bed
+    host
 }
 
-fn state(bed: &mut TestHost, id: &str, version: &str, started: u64) {
+/// Adds the entry of an engine, with the start time of its process.
+
+fn set_engine(host: &mut TestHost, id: &str, version: &str, started: u64) {
     let mut record = record(id, ENGINES, 9);
     record.version = version.into();
     record.started = started;
-    bed.set_entry(record);
+    host.set_entry(record);
 }
 
-fn told(bed: &mut TestHost, order: RolloutOrder) {
-    bed.apply(Event::RolloutOrderRead(order));
+/// Lets the host read a rollout order from the store.
+
+fn read_order(host: &mut TestHost, order: RolloutOrder) {
+    host.apply(Event::RolloutOrderRead(order));
 }
 
-/// Which backend servers get forty requests, each answered at once.
-fn served(bed: &mut TestHost) -> Vec<String> {
+/// Sends forty requests, each answered immediately, and returns the backend servers that got them.
+fn serve_requests(host: &mut TestHost) -> Vec<String> {
     let mut all = Vec::new();
     for _ in 0..40 {
-        let (number, told) = bed.arrive("/ask/x", (100, 100));
-        all.push(told.backend().to_owned());
-        bed.answered(number);
-        bed.ended(number, AttemptOutcome::Complete);
+        let (number, sent) = host.arrive("/ask/x", (100, 100));
+        all.push(sent.backend().to_owned());
+        host.answered(number);
+        host.ended(number, AttemptOutcome::Complete);
     }
     all
 }
 
-fn new_ones(all: &[String]) -> usize {
+/// Counts the requests that engines of the new version got.
+
+fn count_new(all: &[String]) -> usize {
     all.iter().filter(|it| it.starts_with("new")).count()
 }
 
-macro_rules! states {
+macro_rules! order_tests {
     ($($name:ident: $orders:expr => $allowed:expr;)*) => {$(
-        /// A version gets requests that no order, or an ended one, allows it.
+        /// Guards against a version that gets requests which no order, or only an ended one, allows.
         #[test]
         fn $name() {
-            let mut bed = bed();
+            let mut host = host_with_both_versions();
             for order in $orders {
-                told(&mut bed, order);
+                read_order(&mut host, order);
             }
-            let all = served(&mut bed);
+            let all = serve_requests(&mut host);
             let allowed: std::ops::RangeInclusive<usize> = $allowed;
-            assert!(allowed.contains(&new_ones(&all)), "{all:?}");
+            assert!(allowed.contains(&count_new(&all)), "{all:?}");
         }
     )*};
 }
 
 use RolloutState::{Done, Ordered, RolledBack, Running, Withdrawn};
 
-states! {
+order_tests! {
     without_an_order_the_oldest_version_serves: [] => 0..=0;
-    a_version_under_trial_gets_a_part: [order("v2", 5, Ordered)] => 1..=21;
-    a_running_order_is_a_trial: [order("v2", 5, Running)] => 1..=21;
+    a_canary_version_gets_a_part: [order("v2", 5, Ordered)] => 1..=21;
+    the_version_of_a_running_order_gets_a_part: [order("v2", 5, Running)] => 1..=21;
     after_the_end_only_the_new_version_serves: [order("v2", 5, Done)] => 40..=40;
-    a_version_that_was_given_up_gets_nothing: [order("v2", 5, RolledBack)] => 0..=0;
+    a_rolled_back_version_gets_nothing: [order("v2", 5, RolledBack)] => 0..=0;
     a_withdrawn_order_allows_nothing:
         [order("v2", 5, Ordered), order("v2", 6, Withdrawn)] => 0..=0;
     an_older_state_that_comes_late_changes_nothing:
@@ -108,38 +116,40 @@
     an_order_to_a_version_that_nobody_runs: [order("v9", 5, Ordered)] => 0..=0;
 }
 
-/// A deployment without a bound for new versions loses the backend servers that differ.
+/// Guards against unused backend servers of another version in a deployment without a bound for new
+/// versions.
 #[test]
-fn versions_are_not_told_apart_without_a_bound() {
-    let mut bed = TestHost::new(configuration(1));
+fn versions_are_not_distinguished_without_a_bound() {
+    let mut host = TestHost::new(configuration(1));
     for (id, version) in [("a", "v1"), ("b", "v2")] {
         let mut record = record(id, ENGINES, 9);
         record.version = version.into();
-        bed.set_entry(record);
+        host.set_entry(record);
     }
-    let all = served(&mut bed);
+    let all = serve_requests(&mut host);
     let of_b = all.iter().filter(|it| *it == "b").count();
     assert!((1..40).contains(&of_b), "{all:?}");
 }
 
-/// The old backend servers are all gone, and nobody serves.
+/// Guards against a service that no backend server serves once all those of the old version are
+/// removed.
 #[test]
-fn a_version_that_alone_is_left_serves() {
-    let mut bed = bed();
-    bed.remove_entry("old-1");
-    bed.remove_entry("old-2");
-    // Entries that vanish together may have lapsed, and are used a little longer.
-    bed.wait(Duration::from_secs(2));
-    bed.prove();
-    bed.tick();
-    assert_eq!(new_ones(&served(&mut bed)), 40);
-}
-
-/// A peer found the version bad, and this host goes on trying it.
+fn the_only_remaining_version_serves() {
+    let mut host = host_with_both_versions();
+    host.remove_entry("old-1");
+    host.remove_entry("old-2");
+    // Entries that go missing together may have expired, so they are used a little longer.
+    host.wait(Duration::from_secs(2));
+    host.prove();
+    host.tick();
+    assert_eq!(count_new(&serve_requests(&mut host)), 40);
+}
+
+/// Guards against a host that keeps using a canary version that a peer has found to be bad.
 #[test]
-fn a_peer_s_verdict_ends_the_trial() {
-    let mut bed = bed();
-    told(&mut bed, order("v2", 5, Running));
+fn a_bad_verdict_of_a_peer_ends_the_canary() {
+    let mut host = host_with_both_versions();
+    read_order(&mut host, order("v2", 5, Running));
     let mut whole = common::whole_report(2);
     whole.rollouts.push(RolloutReport {
         order: order("v2", 5, Running),
@@ -148,27 +158,28 @@
         is_end_lost: false,
         outcomes: VersionOutcomes::default(),
     });
-    bed.receive_report(common::report(1, whole));
-    assert_eq!(new_ones(&served(&mut bed)), 0);
+    host.receive_report(common::report(1, whole));
+    assert_eq!(count_new(&serve_requests(&mut host)), 0);
 }
 
-/// A host that can't hear of the end of a trial goes on with it.
+/// Guards against a host that keeps using a canary version although it can't learn that the rollout
+/// has ended.
 #[test]
-fn a_host_without_a_fresh_proof_tries_nothing() {
-    let mut bed = bed();
-    told(&mut bed, order("v2", 5, Running));
-    bed.wait(Duration::from_secs(3));
-    bed.tick();
-    assert_eq!(new_ones(&served(&mut bed)), 0);
+fn a_host_without_a_fresh_proof_sends_nothing_to_the_canary() {
+    let mut host = host_with_both_versions();
+    read_order(&mut host, order("v2", 5, Running));
+    host.wait(Duration::from_secs(3));
+    host.tick();
+    assert_eq!(count_new(&serve_requests(&mut host)), 0);
 }
 
-/// An operator orders a version, and the store never shows that anybody took it up.
+/// Guards against an order whose status in the store never shows that a host has started it.
 #[test]
-fn the_store_is_told_that_an_order_runs() {
-    let mut bed = bed();
-    told(&mut bed, order("v2", 5, Ordered));
-    bed.wait(Duration::from_millis(100));
-    let fx = bed.tick();
+fn a_running_order_is_written_to_the_store() {
+    let mut host = host_with_both_versions();
+    read_order(&mut host, order("v2", 5, Ordered));
+    host.wait(Duration::from_millis(100));
+    let fx = host.tick();
     let written = fx.iter().find_map(|effect| match effect {
         Effect::WriteRollout(write) => Some((write.order.state, write.order.point.revision)),
         _ => None,
@@ -176,48 +187,49 @@
     assert_eq!(written, Some((Running, 5)));
 }
 
-/// The first try of a request fails at the new version, and so does the second.
+/// Guards against a second attempt at the new version after the first attempt failed there.
 #[test]
 fn a_request_that_failed_is_sent_to_the_old_version() {
-    let mut bed = bed();
-    told(&mut bed, order("v2", 5, Running));
+    let mut host = host_with_both_versions();
+    read_order(&mut host, order("v2", 5, Running));
     for _ in 0..40 {
-        let (number, told) = bed.arrive("/ask/x", (100, 100));
-        let is_new = told.backend().starts_with("new");
-        let again = bed.ended(number, AttemptOutcome::Failed);
+        let (number, sent) = host.arrive("/ask/x", (100, 100));
+        let is_new = sent.backend().starts_with("new");
+        let again = host.ended(number, AttemptOutcome::Failed);
         if is_new {
             assert!(again.backend().starts_with("old"));
             return;
         }
     }
-    panic!("nothing was tried");
+    panic!("no request was sent to the new version");
 }
 
-/// A host that starts during a trial hears of the order later than of the backend servers, of
-/// which the oldest ones were replaced meanwhile, and serves from the version under trial only.
+/// Guards against a host that sends all requests to the canary version. The host starts during a
+/// rollout and reads the order after the entries of the backend servers, the oldest of which were
+/// replaced meanwhile.
 #[test]
-fn a_version_that_turns_out_to_be_tried_is_not_in_force() {
-    let mut bed = bed();
-    bed.remove_entry("old-1");
-    bed.remove_entry("old-2");
-    bed.wait(Duration::from_secs(2));
-    bed.prove();
-    bed.tick();
-    assert_eq!(new_ones(&served(&mut bed)), 40);
-    state(&mut bed, "old-3", "v1", 30);
-    told(&mut bed, order("v2", 50, Running));
-    let all = served(&mut bed);
-    assert!(new_ones(&all) <= 21, "{all:?}");
-}
-
-/// The order's end is heard before the new backend servers' entries, and requests go to those
-/// that were stopped.
+fn a_version_that_turns_out_to_be_the_canary_is_not_stable() {
+    let mut host = host_with_both_versions();
+    host.remove_entry("old-1");
+    host.remove_entry("old-2");
+    host.wait(Duration::from_secs(2));
+    host.prove();
+    host.tick();
+    assert_eq!(count_new(&serve_requests(&mut host)), 40);
+    set_engine(&mut host, "old-3", "v1", 30);
+    read_order(&mut host, order("v2", 50, Running));
+    let all = serve_requests(&mut host);
+    assert!(count_new(&all) <= 21, "{all:?}");
+}
+
+/// Guards against requests to stopped backend servers when the host reads the end of an order before
+/// the entries of the new backend servers.
 #[test]
-fn a_version_that_was_brought_in_is_used_once_it_is_there() {
-    let mut bed = bed_of_old();
-    told(&mut bed, order("v2", 50, Done));
-    bed.tick();
-    served(&mut bed);
-    state(&mut bed, "new-3", "v2", 40);
-    assert_eq!(new_ones(&served(&mut bed)), 40);
+fn a_rolled_out_version_is_used_once_it_is_registered() {
+    let mut host = host_with_old_version();
+    read_order(&mut host, order("v2", 50, Done));
+    host.tick();
+    serve_requests(&mut host);
+    set_engine(&mut host, "new-3", "v2", 40);
+    assert_eq!(count_new(&serve_requests(&mut host)), 40);
 }
--- a/crates/jaypin_router/tests/version_test.rs
+++ b/crates/jaypin_router/tests/version_test.rs
@@ -1,4 +1,5 @@
-//! Whether a version is good or bad, over many seeded runs of a fleet's counts.
+//! Tests of the statistical test that decides whether a version is good or bad, over many seeded
+//! runs with the counts of a fleet.
 
 use std::time::{Duration, Instant};
 
@@ -6,71 +7,75 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Pause between two looks at the counts.
-const STEP: Duration = Duration::from_millis(100);
-/// Looks in the time of an order.
-const STEPS: u32 = 112;
-/// Answers of the old version in a step, and of the new one, on all routes.
+/// Time between two checks of the counts.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of checks within the time limit of an order.
+const CHECKS: u32 = 112;
+/// Number of answers per check of the old version and of the new one, on all routes together.
 const ANSWERS: (u32, f64) = (48, 2.4);
 const ROUTES: u32 = 3;
-/// Part of answers that count as slow at a version that is not.
-const SLOW: f64 = 0.15;
+/// Fraction of answers that count as slow at a version that is not slow.
+const SLOW_SHARE: f64 = 0.15;
 const SEEDS: u64 = 300;
 
-/// What goes wrong, by step and route.
+/// Fractions of answers with a fault, at a check and on a route.
 #[derive(Debug, Clone, Copy, Default)]
-struct Trouble {
-    /// Part of answers that fail.
+struct FaultRates {
+    /// Fraction of answers that fail.
     failing: f64,
-    /// Part of answers that are slow besides.
+    /// Fraction of answers that are slow, in addition to those of a version that is not slow.
     slow: f64,
 }
 
-/// How a version behaves.
-type Behaviour = fn(step: u32, route: u32) -> Trouble;
+/// Returns the faults of a version at a check and on a route.
+type Behavior = fn(step: u32, route: u32) -> FaultRates;
 
-/// How a run ended.
+/// Result of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
-    /// Found bad after so many failed or slow answers above the usual.
+enum Verdict {
+    /// The version is bad, which took this many failed or slow answers above the baseline to detect.
     Bad { after: u32 },
-    /// Good at the end.
+    /// The version is good.
     Good,
-    /// Neither.
-    Open,
+    /// The version is neither good nor bad.
+    Undecided,
 }
 
-fn run(seed: u64, old: Behaviour, new: Behaviour) -> End {
+/// Runs the test for one seed, until the version is bad or the checks are over.
+
+fn run(seed: u64, old: Behavior, new: Behavior) -> Verdict {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut now = Instant::now();
     let mut test = VersionTest::default();
     let mut totals = VersionOutcomes::default();
     let mut bad_answers = 0;
-    for step in 0..STEPS {
-        let tried = ANSWERS.1 + rng.random_range(0.0..1.0);
-        for answer in 0..ANSWERS.0 + whole(tried) {
+    for step in 0..CHECKS {
+        let new_answers = ANSWERS.1 + rng.random_range(0.0..1.0);
+        for answer in 0..ANSWERS.0 + to_count(new_answers) {
             let is_new = answer >= ANSWERS.0;
             let route = rng.random_range(0..ROUTES);
-            let trouble = if is_new { new } else { old }(step, route);
+            let faults = if is_new { new } else { old }(step, route);
             let drawn: f64 = rng.random_range(0.0..1.0);
-            let outcome = if drawn < trouble.failing {
+            let outcome = if drawn < faults.failing {
                 Outcome::Bad
-            } else if rng.random_range(0.0..1.0) < SLOW + trouble.slow {
+            } else if rng.random_range(0.0..1.0) < SLOW_SHARE + faults.slow {
                 Outcome::Slow
             } else {
                 Outcome::Good
             };
-            let is_worse = outcome == Outcome::Bad || trouble.slow > 0.0;
+            let is_worse = outcome == Outcome::Bad || faults.slow > 0.0;
             bad_answers += u32::from(is_new && is_worse && outcome != Outcome::Good);
             totals.count(route, is_new, outcome);
         }
-        now += STEP;
+        now += CHECK_INTERVAL;
         test.update(&totals, now);
         if test.evidence().is_some() {
-            return End::Bad { after: bad_answers };
+            return Verdict::Bad { after: bad_answers };
         }
     }
-    if test.is_good() { End::Good } else { End::Open }
+    if test.is_good() {
+        Verdict::Good } else {
+        Verdict::Undecided }
 }
 
 #[expect(
@@ -78,20 +83,20 @@
     clippy::cast_sign_loss,
     reason = "a few answers"
 )]
-fn whole(number: f64) -> u32 {
+fn to_count(number: f64) -> u32 {
     number as u32
 }
 
-fn runs(old: Behaviour, new: Behaviour) -> Vec<End> {
+fn runs(old: Behavior, new: Behavior) -> Vec<Verdict> {
     (0..SEEDS).map(|seed| run(seed, old, new)).collect()
 }
 
-fn sound(_: u32, _: u32) -> Trouble {
-    Trouble::default()
+fn no_faults(_: u32, _: u32) -> FaultRates {
+    FaultRates::default()
 }
 
-fn failing(part: f64) -> Trouble {
-    Trouble {
+fn failing(part: f64) -> FaultRates {
+    FaultRates {
         failing: part,
         slow: 0.0,
     }
@@ -99,21 +104,22 @@
 
 macro_rules! good_versions {
     ($($name:ident: $old:expr, $new:expr;)*) => {$(
-        /// A sound version is given up for what goes wrong at both versions.
+        /// Guards against the rollback of a good version because of faults that both versions have, or
+        /// only the old one has.
         #[test]
         fn $name() {
-            let ends = runs($old, $new);
-            let bad = ends.iter().filter(|it| matches!(it, End::Bad { .. })).count();
-            let good = ends.iter().filter(|it| **it == End::Good).count();
-            assert!(bad <= 6, "{bad} of {SEEDS} given up");
+            let verdicts = runs($old, $new);
+            let bad = verdicts.iter().filter(|it| matches!(it, Verdict::Bad { .. })).count();
+            let good = verdicts.iter().filter(|it| **it == Verdict::Good).count();
+            assert!(bad <= 6, "{bad} of {SEEDS} rolled back");
             assert!(good >= 270, "{good} of {SEEDS} good");
         }
     )*};
 }
 
 good_versions! {
-    a_sound_version_is_good: sound, sound;
-    one_failure_in_a_hundred_is_usual: |_, _| failing(0.01), |_, _| failing(0.01);
+    a_sound_version_is_good: no_faults, no_faults;
+    one_failure_in_a_hundred_is_normal: |_, _| failing(0.01), |_, _| failing(0.01);
     a_route_that_always_fails_a_seventh:
         |_, route| failing(if route == 0 { 0.14 } else { 0.0 }),
         |_, route| failing(if route == 0 { 0.14 } else { 0.0 });
@@ -121,29 +127,29 @@
         |step, _| failing(if (30..70).contains(&step) { 0.45 } else { 0.0 }),
         |step, _| failing(if (30..70).contains(&step) { 0.45 } else { 0.0 });
     all_servers_are_slow_for_four_seconds:
-        |step, _| Trouble { failing: 0.0, slow: if (30..70).contains(&step) { 0.6 } else { 0.0 } },
-        |step, _| Trouble { failing: 0.0, slow: if (30..70).contains(&step) { 0.6 } else { 0.0 } };
+        |step, _| FaultRates { failing: 0.0, slow: if (30..70).contains(&step) { 0.6 } else { 0.0 } },
+        |step, _| FaultRates { failing: 0.0, slow: if (30..70).contains(&step) { 0.6 } else { 0.0 } };
     the_old_version_alone_is_slow:
-        |_, _| Trouble { failing: 0.0, slow: 0.4 }, sound;
+        |_, _| FaultRates { failing: 0.0, slow: 0.4 }, no_faults;
 }
 
 macro_rules! bad_versions {
     ($($name:ident: $new:expr, median $median:literal, found $found:literal;)*) => {$(
-        /// A version is taken for good though callers are served worse by it.
+        /// Guards against a version that is considered good although it serves callers worse.
         #[test]
         fn $name() {
-            let ends = runs(|_, _| failing(0.005), $new);
-            let good = ends.iter().filter(|it| **it == End::Good).count();
-            let mut after: Vec<u32> = ends
+            let verdicts = runs(|_, _| failing(0.005), $new);
+            let good = verdicts.iter().filter(|it| **it == Verdict::Good).count();
+            let mut after: Vec<u32> = verdicts
                 .iter()
                 .filter_map(|it| match it {
-                    End::Bad { after } => Some(*after),
+                    Verdict::Bad { after } => Some(*after),
                     _ => None,
                 })
                 .collect();
             after.sort_unstable();
             assert!(after.len() >= $found, "{} of {SEEDS} found", after.len());
-            assert!(good <= 300 - $found, "{good} of {SEEDS} taken for good");
+            assert!(good <= 300 - $found, "{good} of {SEEDS} considered good");
             let median = after[after.len() / 2];
             assert!(median <= $median, "{median} bad answers on the median");
         }
@@ -158,15 +164,15 @@
         |step, _| failing(if step > 60 { 0.3 } else { 0.0 }), median 20, found 300;
     a_version_that_fails_on_one_route:
         |_, route| failing(if route == 2 { 0.4 } else { 0.0 }), median 20, found 300;
-    a_version_that_is_slow: |_, _| Trouble { failing: 0.0, slow: 0.6 }, median 50, found 300;
+    a_version_that_is_slow: |_, _| FaultRates { failing: 0.0, slow: 0.6 }, median 50, found 300;
     a_version_that_is_slow_on_one_route:
-        |_, route| Trouble { failing: 0.0, slow: if route == 1 { 0.6 } else { 0.0 } },
+        |_, route| FaultRates { failing: 0.0, slow: if route == 1 { 0.6 } else { 0.0 } },
         median 50, found 300;
 }
 
-/// A version is taken for good of which hardly an answer was seen.
+/// Guards against a version that is considered good after only a few answers.
 #[test]
-fn a_version_that_was_hardly_seen_is_not_good() {
+fn a_version_with_few_answers_is_not_good() {
     let mut totals = VersionOutcomes::default();
     for _ in 0..500 {
         totals.count(1, false, Outcome::Good);
@@ -180,9 +186,9 @@
     assert!(!test.is_good());
 }
 
-/// A version is taken for good that was never seen on one of the routes.
+/// Guards against a version that is considered good without any answer on one of the routes.
 #[test]
-fn a_version_that_was_not_seen_on_a_route_is_not_good() {
+fn a_version_without_answers_on_a_route_is_not_good() {
     let mut totals = VersionOutcomes::default();
     for _ in 0..500 {
         totals.count(1, false, Outcome::Good);
