--- a/crates/jaypin_router/tests/rollout_fleet/fleet.rs
+++ b/crates/jaypin_router/tests/rollout_fleet/fleet.rs
@@ -296,8 +296,7 @@
                 Delivery::Order(order) if !is_partitioned => { self.apply(n, Event::RolloutOrderRead(order));
                 }
                 Delivery::FirstEvent(number) => self.apply(n, Event::ResponseStarted(number)),
-                Delivery::End(number, outcome) => {
-                    self.apply(n, Event::AttemptEnded { number, outcome });
+                Delivery::End(number, outcome) => { self.apply(n, Event::AttemptEnded { number, outcome });
                 }
                 Delivery::Report(_) | Delivery::Order(_) => {}
             }
--- a/crates/jaypin_router/tests/version_test.rs
+++ b/crates/jaypin_router/tests/version_test.rs
@@ -28,7 +28,7 @@
 }
 
 /// Returns the faults of a version at a check and on a route.
-type Behavior = fn(step: u32, route: u32) -> FaultRates;
+type Behavior = fn(check: u32, route: u32) -> FaultRates;
 
 /// Result of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,12 +49,12 @@
     let mut test = VersionTest::default();
     let mut totals = VersionOutcomes::default();
     let mut bad_answers = 0;
-    for step in 0..CHECKS {
+    for check in 0..CHECKS {
         let new_answers = ANSWERS.1 + rng.random_range(0.0..1.0);
         for answer in 0..ANSWERS.0 + to_count(new_answers) {
             let is_new = answer >= ANSWERS.0;
             let route = rng.random_range(0..ROUTES);
-            let faults = if is_new { new } else { old }(step, route);
+            let faults = if is_new { new } else { old }(check, route);
             let drawn: f64 = rng.random_range(0.0..1.0);
             let outcome = if drawn < faults.failing {
                 Outcome::Bad
@@ -74,8 +74,10 @@
         }
     }
     if test.is_good() {
-        Verdict::Good } else {
-        Verdict::Undecided }
+        Verdict::Good
+    } else {
+        Verdict::Undecided
+    }
 }
 
 #[expect(
@@ -124,11 +126,11 @@
         |_, route| failing(if route == 0 { 0.14 } else { 0.0 }),
         |_, route| failing(if route == 0 { 0.14 } else { 0.0 });
     all_servers_fail_for_four_seconds:
-        |step, _| failing(if (30..70).contains(&step) { 0.45 } else { 0.0 }),
-        |step, _| failing(if (30..70).contains(&step) { 0.45 } else { 0.0 });
+        |check, _| failing(if (30..70).contains(&check) { 0.45 } else { 0.0 }),
+        |check, _| failing(if (30..70).contains(&check) { 0.45 } else { 0.0 });
     all_servers_are_slow_for_four_seconds:
-        |step, _| FaultRates { failing: 0.0, slow: if (30..70).contains(&step) { 0.6 } else { 0.0 } },
-        |step, _| FaultRates { failing: 0.0, slow: if (30..70).contains(&step) { 0.6 } else { 0.0 } };
+        |check, _| FaultRates { failing: 0.0, slow: if (30..70).contains(&check) { 0.6 } else { 0.0 } },
+        |check, _| FaultRates { failing: 0.0, slow: if (30..70).contains(&check) { 0.6 } else { 0.0 } };
     the_old_version_alone_is_slow:
         |_, _| FaultRates { failing: 0.0, slow: 0.4 }, no_faults;
 }
@@ -161,7 +163,7 @@
     a_version_that_fails_three_in_ten: |_, _| failing(0.3), median 20, found 300;
     a_version_that_fails_one_in_ten: |_, _| failing(0.1), median 20, found 295;
     a_version_that_turns_bad_later:
-        |step, _| failing(if step > 60 { 0.3 } else { 0.0 }), median 20, found 300;
+        |check, _| failing(if check > 60 { 0.3 } else { 0.0 }), median 20, found 300;
     a_version_that_fails_on_one_route:
         |_, route| failing(if route == 2 { 0.4 } else { 0.0 }), median 20, found 300;
     a_version_that_is_slow: |_, _| FaultRates { failing: 0.0, slow: 0.6 }, median 50, found 300;
