--- a/crates/jaypin_router/tests/rollout_fleet/fleet.rs
+++ b/crates/jaypin_router/tests/rollout_fleet/fleet.rs
@@ -124,8 +124,7 @@
             stored_order: new_order(),
             is_ordered: false,
             is_store_unavailable: false,
-            new_answers:
-            answers,
+            new_answers: answers,
             old_answers: |_, _| Answer::Good,
             next_request: 1,
             counts: Counts::default(),
@@ -195,7 +194,9 @@
             Effect::Send {
                 number, backend, ..
             } => self.serve(n, number, &backend),
-            Effect::WriteRollout(write) if !self.hosts[n].is_partitioned && !self.is_store_unavailable => {
+            Effect::WriteRollout(write)
+                if !self.hosts[n].is_partitioned && !self.is_store_unavailable =>
+            {
                 self.counts.store_writes += 1;
                 if write.order.point == self.stored_order.point {
                     self.stored_order = RolloutOrder {
@@ -217,7 +218,8 @@
         let at = self.now + DELAY;
         for host in self.hosts.iter_mut().take(2) {
             if !host.is_partitioned {
-                host.deliveries.push((at, Delivery::Order(self.stored_order.clone())));
+                host.deliveries
+                    .push((at, Delivery::Order(self.stored_order.clone())));
             }
         }
     }
@@ -293,10 +295,12 @@
                 Delivery::Report(report) if !is_partitioned => {
                     self.apply(n, Event::ReportReceived { report, boot_time });
                 }
-                Delivery::Order(order) if !is_partitioned => { self.apply(n, Event::RolloutOrderRead(order));
+                Delivery::Order(order) if !is_partitioned => {
+                    self.apply(n, Event::RolloutOrderRead(order));
                 }
                 Delivery::FirstEvent(number) => self.apply(n, Event::ResponseStarted(number)),
-                Delivery::End(number, outcome) => { self.apply(n, Event::AttemptEnded { number, outcome });
+                Delivery::End(number, outcome) => {
+                    self.apply(n, Event::AttemptEnded { number, outcome });
                 }
                 Delivery::Report(_) | Delivery::Order(_) => {}
             }
--- a/crates/jaypin_router/tests/rollouts.rs
+++ b/crates/jaypin_router/tests/rollouts.rs
@@ -11,7 +11,6 @@
 };
 
 /// Returns a rollout order to a version.
-
 fn order(to: &str, revision: u64, state: RolloutState) -> RolloutOrder {
     RolloutOrder {
         service: ENGINES.into(),
@@ -49,7 +48,6 @@
 }
 
 /// Adds the entry of an engine, with the start time of its process.
-
 fn set_engine(host: &mut TestHost, id: &str, version: &str, started: u64) {
     let mut record = record(id, ENGINES, 9);
     record.version = version.into();
@@ -58,7 +56,6 @@
 }
 
 /// Lets the host read a rollout order from the store.
-
 fn read_order(host: &mut TestHost, order: RolloutOrder) {
     host.apply(Event::RolloutOrderRead(order));
 }
@@ -76,7 +73,6 @@
 }
 
 /// Counts the requests that engines of the new version got.
-
 fn count_new(all: &[String]) -> usize {
     all.iter().filter(|it| it.starts_with("new")).count()
 }
--- a/crates/jaypin_router/tests/version_test.rs
+++ b/crates/jaypin_router/tests/version_test.rs
@@ -42,7 +42,6 @@
 }
 
 /// Runs the test for one seed, until the version is bad or the checks are over.
-
 fn run(seed: u64, old: Behavior, new: Behavior) -> Verdict {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut now = Instant::now();
