--- a/crates/jaypin_router/tests/rollout_fleet/fleet.rs
+++ b/crates/jaypin_router/tests/rollout_fleet/fleet.rs
@@ -13,7 +13,6 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Simulated time of one step.
-
 const STEP: Duration = Duration::from_millis(20);
 /// Delivery time of a report or of a change in the store.
 pub const DELAY: Duration = Duration::from_millis(20);
@@ -156,7 +155,6 @@
     }
 
     /// Returns the ids and versions of the engines in the store.
-
     fn backends(&self) -> Vec<(String, &'static str)> {
         let old = (0..12).map(|n| (format!("old-{n}"), "v1"));
         let new = (0..12).map(|n| (format!("new-{n}"), "v2"));
@@ -180,7 +178,6 @@
     }
 
     /// Executes an effect of a host's router.
-
     fn execute(&mut self, n: usize, effect: Effect) {
         let at = self.now + DELAY;
         match effect {
@@ -225,7 +222,6 @@
     }
 
     /// Lets a backend server answer a request.
-
     fn serve(&mut self, n: usize, number: RequestNumber, backend: &str) {
         let is_new = backend.starts_with("new");
         let since = self.since_order();
