--- a/crates/jaypin_router/tests/common/fleet.rs
+++ b/crates/jaypin_router/tests/common/fleet.rs
@@ -1,5 +1,5 @@
-//! Hosts that tell each other by reports that are late and may be lost, before backend servers
-//! that a test plays.
+//! A simulated fleet: hosts that exchange delayed and lossy reports, and backend servers whose
+//! answers a test defines.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -16,19 +16,19 @@
 
 use super::common::{address, bounds};
 
-/// Time between two looks at all that is due.
+/// Time that one simulation step advances.
 const STEP: Duration = Duration::from_millis(10);
-/// Time that a report takes.
-const DELAY: Duration = Duration::from_millis(10);
-/// Pause between two proofs that a host gets from the store.
-const PROOF_PAUSE: Duration = Duration::from_millis(500);
+/// Delay of a report between hosts, and of an answer that declines a request.
+const NETWORK_DELAY: Duration = Duration::from_millis(10);
+/// Interval between the proofs that a host gets from the store.
+const PROOF_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A request that reaches a backend server.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Place of the host that sent it.
+    /// Index of the host that sent it.
     pub host: usize,
-    /// The backend server.
+    /// The backend server that receives it.
     pub backend: BackendId,
     /// When it was sent.
     pub at: Instant,
@@ -37,96 +37,97 @@
 /// How a backend server answers.
 #[derive(Debug, Clone, Copy)]
 pub struct Answer {
-    /// What the header of its answer says.
+    /// What the answer's header states.
     pub signals: BackendSignals,
-    /// Time for which it wants nothing from the host.
+    /// Backoff that the backend server requests of the host.
     pub backoff: Option<Duration>,
-    /// Time to the header.
-    pub first: Duration,
-    /// Time to the end.
-    pub end: Duration,
-    /// How the call ends.
+    /// Time from the request to the answer's header.
+    pub header_after: Duration,
+    /// Time from the request to the end of the answer.
+    pub end_after: Duration,
+    /// How the attempt ends.
     pub outcome: AttemptOutcome,
 }
 
 impl Answer {
-    /// A whole answer in a usual time.
+    /// Returns a complete answer with ordinary timing.
     pub fn good(signals: BackendSignals, rng: &mut ChaCha8Rng) -> Self {
         let first = Duration::from_millis(rng.random_range(25..60));
         Self {
             signals,
             backoff: None,
+            header_after:
             first,
-            end: first * 6,
+            end_after: first * 6,
             outcome: AttemptOutcome::Complete,
         }
     }
 
-    /// It turns the request away and requests backoff.
+    /// Returns an answer that declines the request and requests backoff.
     pub fn declined(backoff: Duration) -> Self {
         Self {
             signals: BackendSignals::default(),
             backoff: Some(backoff),
-            first: DELAY,
-            end: DELAY,
+            header_after: NETWORK_DELAY,
+            end_after: NETWORK_DELAY,
             outcome: AttemptOutcome::NotRun,
         }
     }
 }
 
-/// What a test plays.
-pub trait Backends {
+/// Behaviour of the simulated backend servers.
+pub trait BackendModel {
     /// Answers a request.
     fn answer(&mut self, call: &Call, rng: &mut ChaCha8Rng) -> Answer;
 
-    /// An answer's header reached a host.
-    fn told(&mut self, host: usize, backend: &BackendId, answer: &Answer, at: Instant);
+    /// Records that an answer's header has reached a host.
+    fn header_received(&mut self, host: usize, backend: &BackendId, answer: &Answer, at: Instant);
 }
 
-/// Something on its way to a host.
+/// A message or an answer that has yet to reach a host.
 #[derive(Debug)]
-enum Coming {
+enum Delivery {
     Report(Box<Report>),
     Header(RequestNumber, BackendId, Answer),
     End(RequestNumber, AttemptOutcome),
 }
 
-/// A host.
+/// A simulated host.
 pub struct Host {
-    /// Its decisions.
+    /// Router of the host.
     pub router: Router,
-    /// Whether its process runs.
+    /// Whether the host's process runs.
     pub is_up: bool,
-    /// Its clock that counts suspended time.
-    pub boot: BootTime,
-    coming: Vec<(Instant, Coming)>,
+    /// Current time on the host's clock that also counts suspended time.
+    pub boot_time: BootTime,
+    deliveries: Vec<(Instant, Delivery)>,
 }
 
-/// Hosts before backend servers.
+/// Hosts and the backend servers that they share.
 pub struct Fleet<B> {
-    /// Its hosts.
+    /// All hosts, by index.
     pub hosts: Vec<Host>,
-    /// Now.
+    /// Current time.
     pub now: Instant,
-    /// When it started.
+    /// Time at which the simulation started.
     pub start: Instant,
-    /// What the test plays.
+    /// The simulated backend servers.
     pub backends: B,
-    /// Part of the reports that are lost.
-    pub loss: f64,
-    /// Requests a second, over all hosts.
+    /// Share of the reports that are lost.
+    pub report_loss: f64,
+    /// Requests per second, over all hosts.
     pub rate: f64,
-    /// Path that callers ask for.
+    /// Path that callers request.
     pub path: &'static str,
-    /// Random choices of the test.
+    /// Random numbers of the simulation and the test.
     pub rng: ChaCha8Rng,
     records: Vec<BackendRecord>,
     configuration: Configuration,
     next: RequestNumber,
 }
 
-impl<B: Backends> Fleet<B> {
-    /// Starts so many hosts.
+impl<B: BackendModel> Fleet<B> {
+    /// Creates a fleet of `hosts` hosts and starts them.
     pub fn new(
         hosts: usize,
         seed: u64,
@@ -140,7 +141,7 @@
             now,
             start: now,
             backends,
-            loss: 0.01,
+            report_loss: 0.01,
             rate: 0.0,
             path: "/ask/x",
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -149,23 +150,23 @@
             next: 1,
         };
         for n in 0..hosts {
-            fleet.begin(n);
+            fleet.start_host(n);
         }
         fleet
     }
 
-    /// A host's process starts and reads what the store has.
-    pub fn begin(&mut self, n: usize) {
+    /// Starts a host's process, which reads everything that the store has.
+    pub fn start_host(&mut self, n: usize) {
         let seed = self.rng.random();
-        let boot = self.hosts[n].boot;
+        let boot_time = self.hosts[n].boot_time;
         self.hosts[n] = host(n, seed);
-        self.hosts[n].boot = boot;
+        self.hosts[n].boot_time = boot_time;
         let all = (0..self.hosts.len()).map(|it| (name(it), address(7_000 + port(it))));
         let all = all.collect();
         self.apply(n, Event::HostsListed(all));
         let table = Arc::new(RouteTable::new(self.configuration.clone()));
         self.apply(n, Event::ConfigurationLoaded(table));
-        self.apply(n, Event::ConfigurationProved(boot));
+        self.apply(n, Event::ConfigurationProved(boot_time));
         for record in self.records.clone() {
             let change = EntryChange::Stated {
                 record,
@@ -175,12 +176,12 @@
         }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     pub fn since_start(&self) -> Duration {
         self.now - self.start
     }
 
-    /// Gives an event to a host and carries out what it says.
+    /// Applies an event to a host and carries out the effects.
     pub fn apply(&mut self, n: usize, event: Event) {
         let fx = self.hosts[n].router.apply(self.now, event);
         for effect in fx {
@@ -192,13 +193,13 @@
         match effect {
             Effect::SendReport { to, report } => {
                 for address in to {
-                    if self.rng.random_range(0.0..1.0) < self.loss {
+                    if self.rng.random_range(0.0..1.0) < self.report_loss {
                         continue;
                     }
                     let peer = usize::from(address.port() - 7_001);
-                    let report = Coming::Report(report.clone());
-                    let at = self.now + DELAY;
-                    self.hosts[peer].coming.push((at, report));
+                    let report = Delivery::Report(report.clone());
+                    let at = self.now + NETWORK_DELAY;
+                    self.hosts[peer].deliveries.push((at, report));
                 }
             }
             Effect::Send {
@@ -215,23 +216,23 @@
             at: self.now,
         };
         let answer = self.backends.answer(&call, &mut self.rng);
-        let coming = &mut self.hosts[n].coming;
-        let header = Coming::Header(number, backend, answer);
-        coming.push((self.now + answer.first, header));
-        let end = Coming::End(number, answer.outcome);
-        coming.push((self.now + answer.end, end));
+        let deliveries = &mut self.hosts[n].deliveries;
+        let header = Delivery::Header(number, backend, answer);
+        deliveries.push((self.now + answer.header_after, header));
+        let end = Delivery::End(number, answer.outcome);
+        deliveries.push((self.now + answer.end_after, end));
     }
 
-    /// Lets a moment pass.
+    /// Advances the simulation by one step.
     pub fn step(&mut self) {
         self.now += STEP;
         for n in 0..self.hosts.len() {
             self.step_host(n);
         }
         let per_step = self.rate * STEP.as_secs_f64();
-        let mut left = per_step + self.rng.random_range(0.0..1.0);
-        while left >= 1.0 {
-            left -= 1.0;
+        let mut due = per_step + self.rng.random_range(0.0..1.0);
+        while due >= 1.0 {
+            due -= 1.0;
             let n = self.rng.random_range(0..self.hosts.len());
             if self.hosts[n].is_up {
                 self.arrive(n);
@@ -242,20 +243,19 @@
     fn step_host(&mut self, n: usize) {
         let now = self.now;
         let host = &mut self.hosts[n];
-        host.boot += STEP;
+        host.boot_time += STEP;
         if !host.is_up {
-            host.coming.clear();
+            host.deliveries.clear();
             return;
         }
-        let boot_time = host.boot;
-        let due: Vec<_> = host.coming.extract_if(.., |it| it.0 <= now).collect();
-        for (_, coming) in due {
-            match coming {
-                Coming::Report(report) => {
-                    self.apply(n, Event::ReportReceived { report, boot_time });
+        let boot_time = host.boot_time;
+        let due: Vec<_> = host.deliveries.extract_if(.., |it| it.0 <= now).collect();
+        for (_, delivery) in due {
+            match delivery {
+                Delivery::Report(report) => { self.apply(n, Event::ReportReceived { report, boot_time });
                 }
-                Coming::Header(number, backend, answer) => {
-                    self.backends.told(n, &backend, &answer, now);
+                Delivery::Header(number, backend, answer) => {
+                    self.backends.header_received(n, &backend, &answer, now);
                     self.apply(
                         n,
                         Event::HeaderReceived {
@@ -268,13 +268,12 @@
                         self.apply(n, Event::ResponseStarted(number));
                     }
                 }
-                Coming::End(number, outcome) => {
-                    self.apply(n, Event::AttemptEnded { number, outcome });
+                Delivery::End(number, outcome) => { self.apply(n, Event::AttemptEnded { number, outcome });
                 }
             }
         }
         let since = now - self.start;
-        if since.as_millis().is_multiple_of(PROOF_PAUSE.as_millis()) {
+        if since.as_millis().is_multiple_of(PROOF_INTERVAL.as_millis()) {
             self.apply(n, Event::ConfigurationProved(boot_time));
         }
         self.apply(n, Event::Tick(boot_time));
@@ -293,12 +292,12 @@
             timeout: None,
             fingerprint: number,
             received_at: self.now,
-            boot_time: self.hosts[n].boot,
+            boot_time: self.hosts[n].boot_time,
         };
         self.apply(n, Event::Arrived(arrival));
     }
 
-    /// Runs until a time since the start, with something done before each step.
+    /// Runs until a time since the start and calls `act` before each step.
     pub fn run_until(&mut self, end: Duration, mut act: impl FnMut(&mut Self)) {
         while self.since_start() < end {
             act(self);
@@ -326,8 +325,8 @@
             seed,
             bounds: bounds(),
         }),
-        boot: Duration::from_secs(1_000),
+        boot_time: Duration::from_secs(1_000),
         is_up: true,
-        coming: Vec::new(),
+        deliveries: Vec::new(),
     }
 }
--- a/crates/jaypin_router/tests/common/mod.rs
+++ b/crates/jaypin_router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router with a small configuration, and a clock that tests move.
+//! A router with a small configuration and clocks that tests advance.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -14,40 +14,40 @@
     StoreView, Target, Unrouted, WholeReport, host_key,
 };
 
-/// The service of engines.
+/// Name of the service whose backend servers are inference engines.
 pub const ENGINES: &str = "engines";
-/// The plain service.
+/// Name of the service without engines.
 pub const PLAIN: &str = "plain";
 
-/// What a request was told.
+/// What the router has decided about a request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Told {
-    /// It was sent there.
+pub enum Decision {
+    /// The request was sent to this backend server.
     Sent(BackendId),
-    /// It was refused.
+    /// The host refused the request.
     Refused(Refusal),
-    /// It was rejected.
+    /// The request has no known credential or no route.
     Rejected(Unrouted),
-    /// It gets what its backend server answered.
+    /// The caller receives the backend server's own answer.
     PassedOn,
-    /// It waits.
-    Waits,
+    /// The request is queued.
+    Queued,
 }
 
-/// A router under test.
+/// A router under test with its clocks.
 pub struct TestHost {
     /// The router.
     pub router: Router,
-    /// Now.
+    /// Current time on the steady clock.
     pub now: Instant,
-    /// Now, on the clock that counts suspended time.
-    pub boot: Duration,
-    next: RequestNumber,
-    /// The store's era.
+    /// Current time on the clock that also counts suspended time.
+    pub boot_time: Duration,
+    counter: RequestNumber,
+    /// Store era of the points that this host generates.
     pub era: StoreEra,
 }
 
-/// A route for each kind of request.
+/// Returns a route on `/{name}/` with two attempts and a latency target of 500 ms.
 pub fn route(name: &str, repeat: Repeat, service: &str) -> Route {
     Route {
         name: name.to_owned(),
@@ -67,7 +67,8 @@
     }
 }
 
-/// One account, `farm`, with the credential `key`.
+/// Returns a configuration with a route for each kind of request and one account, `farm`, whose
+/// credential is `key`.
 pub fn configuration(version: u64) -> Configuration {
     let services = [(ENGINES, Some(9)), (PLAIN, None)];
     Configuration {
@@ -106,9 +107,9 @@
     }
 }
 
-/// Changes of a route for tests.
+/// Builder methods for routes in tests.
 pub trait RouteExt {
-    /// The same with another rank.
+    /// Returns the route with another priority.
     fn with_priority(self, priority: u8) -> Self;
 }
 
@@ -119,7 +120,7 @@
     }
 }
 
-/// A quota in tokens.
+/// Returns a quota in tokens, with the rate in tokens per second and the burst in tokens.
 pub fn token_quota(rate: f64, burst: f64) -> Quota {
     Quota {
         rate,
@@ -128,7 +129,7 @@
     }
 }
 
-/// A backend server that is ready.
+/// Returns the record of a ready backend server.
 pub fn record(id: &str, service: &str, slots: u32) -> BackendRecord {
     BackendRecord {
         id: id.into(),
@@ -142,12 +143,12 @@
     }
 }
 
-/// Addresses that nothing listens on.
+/// Returns a loopback address on which nothing listens.
 pub fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// What the peer of a number tells in a whole report when it has nothing to tell.
+/// Returns the whole report of the numbered peer, with nothing to report.
 pub fn whole_report(peer: u16) -> WholeReport {
     WholeReport {
         host: format!("host-{peer}").as_str().into(),
@@ -165,7 +166,8 @@
     }
 }
 
-/// A whole report of a peer that has nothing running; its address is its run's number.
+/// Returns a report of a peer that runs no requests. The port of its address serves as the number
+/// of its run.
 pub fn report(sequence: u64, whole: WholeReport) -> Report {
     Report {
         host: host_key(&whole.host),
@@ -181,7 +183,7 @@
     }
 }
 
-/// Bounds as operators of today state them.
+/// Returns bounds with values as operators set them.
 pub fn bounds() -> Bounds {
     Bounds {
         revocation_limit: Duration::from_secs(5),
@@ -197,33 +199,33 @@
 }
 
 impl TestHost {
-    /// Starts with a configuration that is proved, alone in its fleet, and no backend server.
+    /// Creates the only host of a fleet, with a proved configuration and no backend servers.
     pub fn new(configuration: Configuration) -> Self {
-        let mut bed = Self::unconfigured();
-        bed.apply(Event::HostsListed(Vec::new()));
-        bed.configure(configuration);
-        bed.prove();
-        bed.tick();
-        bed
+        let mut host = Self::unconfigured();
+        host.apply(Event::HostsListed(Vec::new()));
+        host.configure(configuration);
+        host.prove();
+        host.tick();
+        host
     }
 
-    /// Starts with nothing known.
+    /// Creates a host that knows nothing yet.
     pub fn unconfigured() -> Self {
         Self::unconfigured_as(1)
     }
 
-    /// The same for the host of a number.
+    /// Creates the numbered host, which knows nothing yet.
     pub fn unconfigured_as(number: u16) -> Self {
         Self::with(number, bounds())
     }
 
-    /// Starts alone in its fleet, with other bounds and nothing else known.
+    /// Creates the only host of a fleet, with changed bounds and nothing else known.
     pub fn with_bounds(change: impl FnOnce(&mut Bounds)) -> Self {
         let mut bounds = bounds();
         change(&mut bounds);
-        let mut bed = Self::with(1, bounds);
-        bed.apply(Event::HostsListed(Vec::new()));
-        bed
+        let mut host = Self::with(1, bounds);
+        host.apply(Event::HostsListed(Vec::new()));
+        host
     }
 
     fn with(number: u16, bounds: Bounds) -> Self {
@@ -239,116 +241,118 @@
         Self {
             router,
             now: Instant::now(),
-            boot: Duration::from_secs(1_000),
-            next: 1,
+            boot_time: Duration::from_secs(1_000),
+            counter: 1,
             era: 1,
         }
     }
 
-    /// With two engines and two plain backend servers.
-    pub fn usual() -> Self {
-        let mut bed = Self::new(configuration(1));
+    /// Creates a host with two engines and two backend servers of the plain service.
+    pub fn with_backends() -> Self {
+        let mut host = Self::new(configuration(1));
         for id in ["engine-1", "engine-22"] {
-            bed.set_entry(record(id, ENGINES, 9));
+            host.set_entry(record(id, ENGINES, 9));
         }
         for id in ["plain-1", "plain-22"] {
-            bed.set_entry(record(id, PLAIN, 6));
+            host.set_entry(record(id, PLAIN, 6));
         }
-        bed
+        host
     }
 
-    /// Hears a report.
+    /// Applies a peer's report.
     pub fn receive_report(&mut self, report: Report) -> Vec<Effect> {
         self.apply(Event::ReportReceived {
             report: Box::new(report),
-            boot_time: self.boot,
+            boot_time: self.boot_time,
         })
     }
 
-    /// Gives an event.
+    /// Applies an event at the current time.
     pub fn apply(&mut self, event: Event) -> Vec<Effect> {
         self.router.apply(self.now, event)
     }
 
-    /// Reads a configuration.
+    /// Applies a configuration.
     pub fn configure(&mut self, configuration: Configuration) {
         let table = Arc::new(RouteTable::new(configuration));
         self.apply(Event::ConfigurationLoaded(table));
     }
 
-    /// Proves that it is the newest.
+    /// Records a proof, as of now, that the configuration is the newest.
     pub fn prove(&mut self) {
-        self.apply(Event::ConfigurationProved(self.boot));
+        self.apply(Event::ConfigurationProved(self.boot_time));
     }
 
-    /// A backend server states something.
+    /// Applies a backend server's entry at the next store point.
     pub fn set_entry(&mut self, record: BackendRecord) {
-        let point = self.point();
+        let point = self.next_point();
         self.apply(Event::BackendChanged(EntryChange::Stated { record, point }));
     }
 
-    /// Its entry is removed.
+    /// Removes a backend server's entry at the next store point.
     pub fn remove_entry(&mut self, id: &str) {
-        let point = self.point();
+        let point = self.next_point();
         let id = id.into();
         self.apply(Event::BackendChanged(EntryChange::Removed { id, point }));
     }
 
-    /// All entries are read.
-    pub fn list(&mut self, records: Vec<BackendRecord>) {
-        let point = self.point();
+    /// Applies a listing of all entries at the next store point.
+    pub fn list_entries(&mut self, records: Vec<BackendRecord>) {
+        let point = self.next_point();
         let entries = records.into_iter().map(|it| (it, point)).collect();
         self.apply(Event::BackendsListed { entries, point });
     }
 
-    /// A point of the store's history that grows with each call.
-    pub fn point(&mut self) -> StorePoint {
-        StorePoint::new(self.era, self.revision())
+    /// Returns a store point of the current era whose revision grows with each call.
+    pub fn next_point(&mut self) -> StorePoint {
+        StorePoint::new(self.era, self.next_revision())
     }
 
-    /// A number that grows with each call.
-    pub fn revision(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    /// Returns a number that grows with each call.
+    pub fn next_revision(&mut self) -> u64 {
+        self.counter += 1;
+        self.counter
     }
 
-    /// Lets time go on for both clocks.
+    /// Advances both clocks.
     pub fn wait(&mut self, time: Duration) {
         self.now += time;
-        self.boot += time;
+        self.boot_time += time;
     }
 
-    /// Tells the time.
+    /// Applies a tick at the current time.
     pub fn tick(&mut self) -> Vec<Effect> {
-        self.apply(Event::Tick(self.boot))
+        self.apply(Event::Tick(self.boot_time))
     }
 
-    /// A request of the account arrives.
-    pub fn arrive(&mut self, path: &str, tokens: (u32, u32)) -> (RequestNumber, Told) {
-        self.arrive_as(|arrival| {
+    /// Applies the arrival of a request of the account and returns the decision about it.
+    pub fn arrive(&mut self, path: &str, tokens: (u32, u32)) -> (RequestNumber, Decision) {
+        self.arrive_with(|arrival| {
             path.clone_into(&mut arrival.path);
             arrival.tokens = Some(tokens);
         })
     }
 
-    /// A request arrives that differs from the usual one.
-    pub fn arrive_as(&mut self, change: impl FnOnce(&mut Arrival)) -> (RequestNumber, Told) {
-        let number = self.next + 1;
-        let fx = self.arrive_with(change);
-        (number, told(&fx, number))
+    /// Applies an arrival that `change` has modified and returns the decision about it.
+    pub
+
+    fn arrive_with(&mut self, change: impl FnOnce(&mut Arrival)) -> (RequestNumber, Decision) {
+        let number = self.counter + 1;
+        let fx = self.apply_arrival(change);
+        (number, decision_for(&fx, number))
     }
 
-    /// A request of the account arrives; gives all that is to be done.
-    pub fn arrive_fx(&mut self, path: &str, tokens: (u32, u32)) -> Vec<Effect> {
-        self.arrive_with(|arrival| {
+    /// Applies the arrival of a request of the account and returns all effects.
+    pub fn arrive_effects(&mut self, path: &str, tokens: (u32, u32)) -> Vec<Effect> {
+        self.apply_arrival(|arrival| {
             path.clone_into(&mut arrival.path);
             arrival.tokens = Some(tokens);
         })
     }
 
-    fn arrive_with(&mut self, change: impl FnOnce(&mut Arrival)) -> Vec<Effect> {
-        self.next += 1;
-        let number = self.next;
+    fn apply_arrival(&mut self, change: impl FnOnce(&mut Arrival)) -> Vec<Effect> {
+        self.counter += 1;
+        let number = self.counter;
         let mut arrival = Arrival {
             number,
             host: "api.example".to_owned(),
@@ -359,73 +363,74 @@
             timeout: None,
             fingerprint: number,
             received_at: self.now,
-            boot_time: self.boot,
+            boot_time: self.boot_time,
         };
         change(&mut arrival);
         self.apply(Event::Arrived(arrival))
     }
 
-    /// A call's first event comes.
+    /// Records the first event of an attempt's answer.
     pub fn answered(&mut self, number: RequestNumber) {
         self.apply(Event::ResponseStarted(number));
     }
 
-    /// A call ends.
-    pub fn ended(&mut self, number: RequestNumber, outcome: AttemptOutcome) -> Told {
+    /// Ends an attempt and returns the decision about its request.
+    pub fn ended(&mut self, number: RequestNumber, outcome: AttemptOutcome) -> Decision {
         let fx = self.apply(Event::AttemptEnded { number, outcome });
-        told(&fx, number)
+        decision_for(&fx, number)
     }
 }
 
-/// What one request was told by some effects.
-pub fn told(fx: &[Effect], number: RequestNumber) -> Told {
-    let mut words = fx.iter().filter_map(|effect| match effect {
+/// Returns the decision about one request among `fx`.
+pub fn decision_for(fx: &[Effect], number: RequestNumber) -> Decision {
+    let mut decisions = fx.iter().filter_map(|effect| match effect {
         Effect::Send {
             number: of,
             backend,
             ..
-        } if *of == number => Some(Told::Sent(backend.clone())),
+        } if *of == number => Some(Decision::Sent(backend.clone())),
         Effect::Refuse {
             number: of,
             refusal,
             ..
-        } if *of == number => Some(Told::Refused(refusal.clone())),
+        } if *of == number => Some(Decision::Refused(refusal.clone())),
         Effect::Reject {
             number: of, reason, ..
-        } if *of == number => Some(Told::Rejected(*reason)),
-        Effect::ForwardFailure(of) if *of == number => Some(Told::PassedOn),
+        } if *of == number => Some(Decision::Rejected(*reason)),
+        Effect::ForwardFailure(of) if *of == number => Some(Decision::PassedOn),
         _ => None,
     });
-    let first = words.next();
-    assert_eq!(words.next(), None, "one word at a time");
-    first.unwrap_or(Told::Waits)
+    let first = decisions.next();
+    assert_eq!(
+        decisions.next(), None,
+        "more than one decision about a request");
+    first.unwrap_or(Decision::Queued)
 }
 
-impl Told {
-    /// The refusal, where it is one.
+impl Decision {
+    /// Returns the refusal; panics on any other decision.
     pub fn refusal(&self) -> &Refusal {
         match self {
             Self::Refused(refusal) => refusal,
-            other => panic!("no refusal: {other:?}"),
+            other => panic!("expected a refusal, found {other:?}"),
         }
     }
 
-    /// The backend server, where it was sent to one.
+    /// Returns the backend server to which the request was sent; panics on any other decision.
     pub fn backend(&self) -> &str {
         match self {
             Self::Sent(backend) => backend,
-            other => panic!("not sent: {other:?}"),
+            other => panic!("expected a sent request, found {other:?}"),
         }
     }
 }
 
-/// What the first refusal among some effects rests on, as a log says it.
-pub fn refusal_grounds(fx: &[Effect]) -> String {
+/// Returns the inputs of the first refusal among `fx`, as a log line prints them.
+pub fn refusal_inputs(fx: &[Effect]) -> String {
     let mut grounds = fx.iter().filter_map(|effect| match effect {
         Effect::Refuse {
-            inputs: grounds, ..
-        } => Some(grounds.to_string()),
+            inputs: grounds, .. } => Some(grounds.to_string()),
         _ => None,
     });
-    grounds.next().expect("a refusal")
+    grounds.next().expect("a refusal among the effects")
 }
--- a/crates/jaypin_router/tests/leaving_backends.rs
+++ b/crates/jaypin_router/tests/leaving_backends.rs
@@ -1,4 +1,4 @@
-//! Backend servers that say in their answers that they leave, before the store knows it.
+//! Backend servers whose answers state that they are leaving, before the store has recorded it.
 
 mod common;
 #[path = "common/fleet.rs"]
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use common::{ENGINES, TestHost, configuration, record};
-use fleet::{Answer, Backends, Call, Fleet};
+use fleet::{Answer, BackendModel, Call, Fleet};
 use jaypin_core::BackendId;
 use jaypin_router::{AttemptOutcome, BackendRecord, BackendSignals, Event, SignalReport};
 use rand_chacha::ChaCha8Rng;
@@ -18,98 +18,101 @@
     is_leaving: true,
 };
 
-/// A bed in which `engine-1` has answered one request and said that it leaves.
-fn told_bed() -> TestHost {
-    let mut bed = TestHost::usual();
-    say_leaving(&mut bed, "engine-1");
-    bed
+/// Returns a host to which `engine-1` has stated, in an answer, that it is leaving.
+fn host_with_leaving_engine() -> TestHost {
+    let mut host = TestHost::with_backends();
+    receive_leaving_signal(&mut host, "engine-1");
+    host
 }
 
-fn say_leaving(bed: &mut TestHost, id: &str) {
+fn receive_leaving_signal(host: &mut TestHost, id: &str) {
     for _ in 0..100 {
-        let (number, told) = bed.arrive("/ask/x", (600, 30));
-        if told.backend() != id {
-            bed.ended(number, AttemptOutcome::Complete);
+        let (number, decision) = host.arrive("/ask/x", (600, 30));
+        if decision.backend() != id {
+            host.ended(number, AttemptOutcome::Complete);
             continue;
         }
-        bed.apply(Event::HeaderReceived {
+        host.apply(Event::HeaderReceived {
             number,
             signals: LEAVING,
             backoff: None,
         });
-        bed.answered(number);
-        bed.ended(number, AttemptOutcome::Complete);
+        host.answered(number);
+        host.ended(number, AttemptOutcome::Complete);
         return;
     }
-    panic!("`{id}` is never asked");
+    panic!("`{id}` never gets a request");
 }
 
-/// Where the next requests are sent.
-fn places(bed: &mut TestHost) -> Vec<String> {
-    let mut places = Vec::new();
+/// Returns the backend servers to which the next requests are sent.
+fn chosen_backends(host: &mut TestHost) -> Vec<String> {
+    let mut chosen = Vec::new();
     for _ in 0..6 {
-        let (_, told) = bed.arrive("/ask/x", (600, 30));
-        places.push(told.backend().to_owned());
+        let (_, decision) = host.arrive("/ask/x", (600, 30));
+        chosen.push(decision.backend().to_owned());
     }
-    places
+    chosen
 }
 
-fn other_run(id: &str) -> BackendRecord {
+fn restarted_record(id: &str) -> BackendRecord {
     let mut record = record(id, ENGINES, 9);
     record.started = 2;
     record
 }
 
-macro_rules! barred {
+macro_rules! stays_excluded {
     ($($name:ident: $act:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                let mut bed = told_bed();
-                ($act)(&mut bed);
-                assert!(!places(&mut bed).contains(&"engine-1".to_owned()));
+                let mut host = host_with_leaving_engine();
+                ($act)(&mut host);
+                assert!(!chosen_backends(&mut host).contains(&"engine-1".to_owned()));
             }
         )*
     };
 }
 
-// Guards against new work for a backend server that said it leaves, whatever the store says.
-barred! {
-    nothing_new_is_sent_after_the_word: |_: &mut TestHost| {};
-    a_listing_that_calls_it_ready_changes_nothing: |bed: &mut TestHost| {
-        bed.list(vec![record("engine-1", ENGINES, 9), record("engine-22", ENGINES, 9)]);
+// Guards against new requests to a backend server that has stated that it is leaving, whatever
+// the store says about it.
+stays_excluded! {
+    nothing_new_is_sent_after_the_leaving_signal: |_: &mut TestHost| {};
+    a_listing_that_calls_it_ready_changes_nothing: |host: &mut TestHost| {
+        host.list_entries(vec![record("engine-1", ENGINES, 9), record("engine-22", ENGINES, 9)]);
     };
-    its_entry_stated_again_changes_nothing: |bed: &mut TestHost| bed.set_entry(record("engine-1", ENGINES, 9));
-    an_entry_that_vanished_and_is_back_changes_nothing: |bed: &mut TestHost| {
-        bed.remove_entry("engine-1");
-        bed.tick();
-        bed.set_entry(record("engine-1", ENGINES, 9));
+    its_entry_stated_again_changes_nothing: |host: &mut TestHost| host.set_entry(record("engine-1", ENGINES, 9));
+    an_entry_that_is_removed_and_written_again_changes_nothing: |host: &mut TestHost| {
+        host.remove_entry("engine-1");
+        host.tick();
+        host.set_entry(record("engine-1", ENGINES, 9));
     };
-    time_changes_nothing: |bed: &mut TestHost| {
+    time_changes_nothing: |host: &mut TestHost| {
         for _ in 0..200 {
-            bed.wait(Duration::from_secs(1));
-            bed.prove();
-            bed.tick();
+            host.wait(Duration::from_secs(1));
+            host.prove();
+            host.tick();
         }
     };
-    an_answer_without_the_word_changes_nothing: |bed: &mut TestHost| {
+    an_answer_without_the_leaving_signal_changes_nothing: |host: &mut TestHost| {
         let signals = BackendSignals::default();
-        bed.apply(Event::HeaderReceived { number: 1, signals, backoff: None });
+        host.apply(Event::HeaderReceived { number: 1, signals, backoff: None });
     };
 }
 
-/// Guards against a word that outlives its process: the same id may start again.
+/// Guards against a leaving signal that outlives its process: a new process may start under the
+/// same id.
 #[test]
 fn the_next_process_with_its_id_is_used() {
-    let mut bed = told_bed();
-    bed.set_entry(other_run("engine-1"));
-    assert!(places(&mut bed).contains(&"engine-1".to_owned()));
+    let mut host = host_with_leaving_engine();
+    host.set_entry(restarted_record("engine-1"));
+    assert!(chosen_backends(&mut host).contains(&"engine-1".to_owned()));
 }
 
-/// Guards against hosts that each have to send a request to hear of it.
+/// Guards against a signal that stays local: each host would have to send a request to the
+/// leaving backend server before it learns that it is leaving.
 #[test]
-fn a_peer_that_was_told_is_enough() {
-    let mut bed = TestHost::usual();
+fn a_peer_s_report_of_the_signal_is_enough() {
+    let mut host = TestHost::with_backends();
     let mut report = common::report(1, common::whole_report(2));
     report.signals.push(SignalReport {
         key: jaypin_router::backend_key("engine-1"),
@@ -117,42 +120,45 @@
         signals: LEAVING,
         age: Duration::from_millis(5),
     });
-    bed.receive_report(report);
-    assert!(!places(&mut bed).contains(&"engine-1".to_owned()));
+    host.receive_report(report);
+    assert!(!chosen_backends(&mut host).contains(&"engine-1".to_owned()));
 }
 
-/// Guards against second looks that don't pass the place where the word is read.
+/// Guards against a retry that ignores the leaving signal: a request that one backend server
+/// declined must not go to the one that is leaving.
 #[test]
 fn a_request_that_was_declined_is_not_sent_there() {
-    let mut bed = told_bed();
-    let (number, told) = bed.arrive("/ask/x", (600, 30));
-    assert_eq!(told.backend(), "engine-22");
-    let again = bed.ended(number, AttemptOutcome::NotRun);
-    assert!(!matches!(again, common::Told::Sent(_)), "{again:?}");
+    let mut host = host_with_leaving_engine();
+    let (number, decision) = host.arrive("/ask/x", (600, 30));
+    assert_eq!(decision.backend(), "engine-22");
+    let retry = host.ended(number, AttemptOutcome::NotRun);
+    assert!(!matches!(retry, common::Decision::Sent(_)), "{retry:?}");
 }
 
-/// Backend servers of which one leaves and says so from a time on.
-struct Leaver {
+/// Backend servers of which one is leaving, and says so in its answers, from some time on.
+struct LeavingBackend {
     id: BackendId,
-    from: Duration,
+    /// Time since the start at which it begins to leave.
+    leaves_after: Duration,
     start: Instant,
-    told: BTreeMap<usize, Instant>,
-    /// Longest time after which a request still came from a host that had been told.
-    latest: Duration,
-    /// Requests to it after the first word.
-    after: u32,
+    /// When each host received the signal.
+    signal_received_at: BTreeMap<usize, Instant>,
+    /// Longest time between the signal's arrival at a host and a later request from that host.
+    latest_after_signal: Duration,
+    /// Number of requests to the leaving backend server after any host has received its signal.
+    requests_after_signal: u32,
 }
 
-impl Backends for Leaver {
+impl BackendModel for LeavingBackend {
     fn answer(&mut self, call: &Call, rng: &mut ChaCha8Rng) -> Answer {
         if call.backend != self.id {
             return Answer::good(BackendSignals::default(), rng);
         }
-        if let Some(told) = self.told.get(&call.host) {
-            self.latest = self.latest.max(call.at - *told);
+        if let Some(received_at) = self.signal_received_at.get(&call.host) {
+            self.latest_after_signal = self.latest_after_signal.max(call.at - *received_at);
         }
-        self.after += u32::from(!self.told.is_empty());
-        let is_leaving = call.at >= self.start + self.from;
+        self.requests_after_signal += u32::from(!self.signal_received_at.is_empty());
+        let is_leaving = call.at >= self.start + self.leaves_after;
         let signals = BackendSignals {
             is_leaving,
             ..BackendSignals::default()
@@ -160,37 +166,38 @@
         Answer::good(signals, rng)
     }
 
-    fn told(&mut self, host: usize, _: &BackendId, answer: &Answer, at: Instant) {
+    fn header_received(&mut self, host: usize, _: &BackendId, answer: &Answer, at: Instant) {
         if answer.signals.is_leaving {
-            self.told.entry(host).or_insert(at);
+            self.signal_received_at.entry(host).or_insert(at);
         }
     }
 }
 
-/// Guards against a fleet in which each host goes on until it has heard the word itself.
+/// Guards against a fleet in which each host goes on sending until it has received the leaving
+/// signal itself.
 #[test]
-fn a_fleet_stops_within_a_moment_of_the_first_word() {
+fn a_fleet_stops_soon_after_the_first_leaving_signal() {
     for seed in 0..5 {
         let records = (0..12).map(|n| record(&format!("engine-{n}"), ENGINES, 10));
-        let leaver = Leaver {
+        let backends = LeavingBackend {
             id: "engine-3".into(),
-            from: Duration::from_secs(2),
+            leaves_after: Duration::from_secs(2),
             start: Instant::now(),
-            told: BTreeMap::new(),
-            latest: Duration::ZERO,
-            after: 0,
+            signal_received_at: BTreeMap::new(),
+            latest_after_signal: Duration::ZERO,
+            requests_after_signal: 0,
         };
-        let mut fleet = Fleet::new(13, seed, configuration(1), records.collect(), leaver);
+        let mut fleet = Fleet::new(13, seed, configuration(1), records.collect(), backends);
         fleet.backends.start = fleet.start;
         fleet.rate = 120.0;
         fleet.run_until(Duration::from_secs(8), |_| {});
         let seen = &fleet.backends;
-        assert!(!seen.told.is_empty(), "seed {seed}");
-        assert_eq!(seen.latest, Duration::ZERO, "seed {seed}");
+        assert!(!seen.signal_received_at.is_empty(), "seed {seed}");
+        assert_eq!(seen.latest_after_signal, Duration::ZERO, "seed {seed}");
         assert!(
-            seen.after <= 3,
-            "seed {seed}: {} after the word",
-            seen.after
+            seen.requests_after_signal <= 3,
+            "seed {seed}: {} requests after the signal",
+            seen.requests_after_signal
         );
     }
 }
--- a/crates/jaypin_router/tests/stated_limits.rs
+++ b/crates/jaypin_router/tests/stated_limits.rs
@@ -1,4 +1,4 @@
-//! Backend servers that state how many requests a second they take from all hosts together.
+//! Backend servers that state how many requests per second they accept from all hosts together.
 
 mod common;
 #[path = "common/fleet.rs"]
@@ -8,33 +8,34 @@
 use std::time::{Duration, Instant};
 
 use common::{ENGINES, PLAIN, configuration, record};
-use fleet::{Answer, Backends, Call, Fleet};
+use fleet::{Answer, BackendModel, Call, Fleet};
 use jaypin_core::BackendId;
 use jaypin_router::{BackendRecord, BackendSignals};
 use rand_chacha::ChaCha8Rng;
 
-/// When limits are stated, and when they end.
+/// Time since the start in which limits are stated.
 const STATED: std::ops::Range<Duration> = Duration::from_secs(3)..Duration::from_secs(15);
 const END: Duration = Duration::from_secs(20);
-/// Time from the first statement after which the bound holds.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Time after which a host that heard a limit counts.
-const REACTION: Duration = Duration::from_millis(500);
+/// Time after the first statement from which on the limits must hold.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Time after a host has received a limit from which on its requests count against it.
+const REACTION_TIME: Duration = Duration::from_millis(500);
 /// Window over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// What operators allow in such a window: a factor on the stated rate, and requests besides.
+/// Requests that operators tolerate in such a window: a factor on the stated rate, and a
+/// constant.
 const TOLERANCE: (f64, f64) = (1.5, 5.0);
 
 /// Backend servers of which some state limits for a while.
-struct Limited {
+struct LimitedBackends {
     limits: BTreeMap<BackendId, f64>,
     start: Instant,
-    /// When a host was first told, by host and backend server.
-    told: BTreeMap<(usize, BackendId), Instant>,
+    /// When a host first received a limit, by host and backend server.
+    limit_received_at: BTreeMap<(usize, BackendId), Instant>,
     calls: Vec<Call>,
 }
 
-impl Backends for Limited {
+impl BackendModel for LimitedBackends {
     fn answer(&mut self, call: &Call, rng: &mut ChaCha8Rng) -> Answer {
         self.calls.push(call.clone());
         let is_stated = STATED.contains(&(call.at - self.start));
@@ -47,50 +48,56 @@
         Answer::good(signals, rng)
     }
 
-    fn told(&mut self, host: usize, backend: &BackendId, answer: &Answer, at: Instant) {
+    fn header_received(&mut self, host: usize, backend: &BackendId, answer: &Answer, at: Instant) {
         if answer.signals.rate_limit.is_some() {
             let key = (host, backend.clone());
-            self.told.entry(key).or_insert(at);
+            self.limit_received_at.entry(key).or_insert(at);
         }
     }
 }
 
-impl Limited {
-    /// A host's process ended, which excuses what it sent; the next one was told nothing.
-    fn restarted(&mut self, host: usize) {
-        self.told.retain(|(it, _), _| *it != host);
+impl LimitedBackends {
+    /// Forgets a host whose process has ended: its requests no longer count, and its next process
+    /// has received no limit.
+    fn forget_host(&mut self, host: usize) {
+        self.limit_received_at.retain(|(it, _), _| *it != host);
         self.calls.retain(|it| it.host != host);
     }
 
-    /// Requests that count against a limit, in the order in which they were sent.
-    fn counted(&self, backend: &BackendId) -> Vec<Instant> {
+    /// Returns the times of the requests that count against a limit, in the order in which they
+    /// were sent.
+    fn counted_requests(&self, backend: &BackendId) -> Vec<Instant> {
         let calls = self.calls.iter().filter(|it| it.backend == *backend);
-        let counted = calls.filter(|call| {
-            let told = self.told.get(&(call.host, backend.clone()));
-            told.is_some_and(|at| call.at >= *at + REACTION)
+        let counted_requests = calls.filter(|call| {
+            let received_at = self.limit_received_at.get(&(call.host, backend.clone()));
+            received_at.is_some_and(|at| call.at >= *at + REACTION_TIME)
         });
-        counted.map(|it| it.at).collect()
+        counted_requests.map(|it| it.at).collect()
     }
 
-    /// The greatest excess over what operators allow, in requests; below 0 there is none.
+    /// Returns the greatest number of requests in any window beyond what operators tolerate;
+    /// negative if the limit held.
     fn excess(&self, backend: &BackendId) -> f64 {
         let limit = self.limits[backend];
         let allowed = TOLERANCE.0 * limit * WINDOW.as_secs_f64() + TOLERANCE.1;
-        let from = self.start + STATED.start + CONTACT;
+        let from = self.start + STATED.start + SETTLE_TIME;
         let until = self.start + STATED.end;
-        let counted = self.counted(backend);
-        let ends = counted.iter().filter(|at| (from..until).contains(*at));
-        let counts = ends.map(|end| {
-            let within = counted
+        let counted_requests = self.counted_requests(backend);
+        let ends = counted_requests
+            .iter()
+            .filter(|at| (from..until).contains(*at));
+        let windows = ends.map(|end| {
+            let within = counted_requests
                 .iter()
                 .filter(|at| **at <= *end && **at + WINDOW > *end);
             within.map(|_| 1.0).sum::<f64>()
         });
-        counts.fold(0.0, f64::max) - allowed
+        windows.fold(0.0, f64::max) - allowed
     }
 
-    /// Requests that it got in a part of the day.
-    fn requests(&self, backend: &BackendId, span: std::ops::Range<Duration>) -> usize {
+    /// Returns the number of requests that a backend server got in a span of time since the
+    /// start.
+    fn requests_in(&self, backend: &BackendId, span: std::ops::Range<Duration>) -> usize {
         let calls = self.calls.iter().filter(|it| it.backend == *backend);
         calls
             .filter(|it| span.contains(&(it.at - self.start)))
@@ -103,12 +110,17 @@
     ids.collect()
 }
 
-fn fleet(hosts: usize, seed: u64, records: Vec<BackendRecord>, limits: &[f64]) -> Fleet<Limited> {
+fn fleet(
+    hosts: usize,
+    seed: u64,
+    records: Vec<BackendRecord>,
+    limits: &[f64],
+) -> Fleet<LimitedBackends> {
     let limits = records.iter().zip(limits);
-    let backends = Limited {
+    let backends = LimitedBackends {
         limits: limits.map(|(it, limit)| (it.id.clone(), *limit)).collect(),
         start: Instant::now(),
-        told: BTreeMap::new(),
+        limit_received_at: BTreeMap::new(),
         calls: Vec::new(),
     };
     let mut fleet = Fleet::new(hosts, seed, configuration(1), records, backends);
@@ -117,31 +129,35 @@
     fleet
 }
 
-fn assert_kept(fleet: &Fleet<Limited>, seed: u64) {
+fn assert_limits_hold(fleet: &Fleet<LimitedBackends>, seed: u64) {
     for backend in fleet.backends.limits.keys() {
         let excess = fleet.backends.excess(backend);
-        assert!(excess <= 0.0, "seed {seed}, {backend}: {excess} too many");
+        assert!(
+            excess <= 0.0,
+            "seed {seed}, {backend}: {excess} requests too many"
+        );
     }
 }
 
-macro_rules! kept {
+macro_rules! limits_hold {
     ($($name:ident: $hosts:expr, $rate:expr, $loss:expr, $limits:expr;)*) => {
         $(
             #[test]
             fn $name() {
                 for seed in 0..5 {
                     let mut fleet = fleet($hosts, seed, engines(12), &$limits);
-                    (fleet.rate, fleet.loss) = ($rate, $loss);
+                    (fleet.rate, fleet.report_loss) = ($rate, $loss);
                     fleet.run_until(END, |_| {});
-                    assert_kept(&fleet, seed);
+                    assert_limits_hold(&fleet, seed);
                 }
             }
         )*
     };
 }
 
-// Guards against hosts that each send what a backend server takes from all of them together.
-kept! {
+// Guards against hosts that each send as many requests as a backend server accepts from all hosts
+// together.
+limits_hold! {
     limits_hold_over_the_fleet: 13, 120.0, 0.01, [2.4, 1.0, 2.8];
     limits_hold_where_reports_are_lost: 13, 120.0, 0.4, [2.4, 1.0, 0.3];
     limits_hold_where_nearly_all_are_limited: 13, 120.0, 0.01, [2.4, 1.0, 2.8, 9.0, 0.5, 2.0, 3.0, 6.0, 2.0, 2.0, 2.0];
@@ -149,14 +165,15 @@
     limits_hold_in_a_fleet_of_several_cells: 90, 150.0, 0.02, [2.4, 1.0, 5.0];
 }
 
-/// Guards against hosts that start and are told nothing: each would send until it hears.
+/// Guards against hosts that know no limit when they start: each would send without one until it
+/// receives a statement.
 #[test]
 fn limits_hold_while_hosts_restart_in_turn() {
     for seed in 0..5 {
         let mut fleet = fleet(13, seed, engines(12), &[2.4, 1.0, 2.8]);
         fleet.run_until(END, |fleet| {
             let millis = fleet.since_start().as_millis();
-            // One host after another from second 4 on, each away for half a second.
+            // From 4 s on, one host after another is down for 500 ms.
             let n = usize::try_from((millis.saturating_sub(4_000)) / 800).expect("few");
             let phase = millis.saturating_sub(4_000) % 800;
             if millis < 4_000 || n >= fleet.hosts.len() {
@@ -164,17 +181,17 @@
             }
             if phase == 0 {
                 fleet.hosts[n].is_up = false;
-                fleet.backends.restarted(n);
+                fleet.backends.forget_host(n);
             }
             if phase == 500 && !fleet.hosts[n].is_up {
-                fleet.begin(n);
+                fleet.start_host(n);
             }
         });
-        assert_kept(&fleet, seed);
+        assert_limits_hold(&fleet, seed);
     }
 }
 
-/// Guards against a plain service whose few backend servers are all limited.
+/// Guards against limits that fail in a service of a few backend servers, all of which state one.
 #[test]
 fn limits_hold_where_all_of_a_service_are_limited() {
     for seed in 0..5 {
@@ -184,39 +201,46 @@
         let mut fleet = fleet(13, seed, plain, &[4.0, 2.0, 1.0]);
         fleet.path = "/read/x";
         fleet.run_until(END, |_| {});
-        assert_kept(&fleet, seed);
+        assert_limits_hold(&fleet, seed);
     }
 }
 
-/// Guards against holding back more than was asked: a limited backend server stands idle.
+/// Guards against hosts that hold back more than was asked, so that a limited backend server
+/// stands idle.
 #[test]
 fn a_limited_backend_server_gets_most_of_what_it_takes() {
     for seed in 0..5 {
         let mut fleet = fleet(13, seed, engines(12), &[2.4, 5.0]);
-        // Enough that each host has requests for it at all times.
+        // At this rate, each host has requests for the limited backend servers at all times.
         fleet.rate = 300.0;
         fleet.run_until(END, |_| {});
-        let span = STATED.start + CONTACT..STATED.end;
+        let span = STATED.start + SETTLE_TIME..STATED.end;
         let time = span.end.saturating_sub(span.start).as_secs_f64();
         for (backend, limit) in &fleet.backends.limits {
-            let got = fleet.backends.requests(backend, span.clone());
+            let got = fleet.backends.requests_in(backend, span.clone());
             let got = f64::from(u32::try_from(got).expect("few"));
             assert!(got >= 0.6 * limit * time, "seed {seed}, {backend}: {got}");
         }
     }
 }
 
-/// Guards against a limit that outlives its statement at hosts that no longer send there.
+/// Guards against a limit that goes on, at hosts that no longer send there, after it is no longer
+/// stated.
 #[test]
 fn a_limit_ends_for_all_hosts_when_it_is_no_longer_stated() {
     for seed in 0..5 {
         let mut fleet = fleet(13, seed, engines(12), &[2.4, 1.0]);
         fleet.run_until(END + Duration::from_secs(4), |_| {});
         let later = END..END + Duration::from_secs(4);
-        let usual = fleet.backends.requests(&"engine-5".into(), later.clone());
+        let unlimited = fleet
+            .backends
+            .requests_in(&"engine-5".into(), later.clone());
         for backend in fleet.backends.limits.keys() {
-            let got = fleet.backends.requests(backend, later.clone());
-            assert!(got * 2 > usual, "seed {seed}, {backend}: {got} of {usual}");
+            let got = fleet.backends.requests_in(backend, later.clone());
+            assert!(
+                got * 2 > unlimited,
+                "seed {seed}, {backend}: {got} of {unlimited}"
+            );
         }
     }
 }
