--- a/crates/jaypin_router/tests/cells.rs
+++ b/crates/jaypin_router/tests/cells.rs
@@ -1,10 +1,10 @@
-//! Large fleets in cells.
+//! Division of large fleets into cells.
 
 use std::collections::BTreeMap;
 
 use jaypin_router::{cell_count, cell_of};
 
-macro_rules! counts {
+macro_rules! cell_counts {
     ($($name:ident: $hosts:expr => $cells:expr;)*) => {
         $(
             #[test]
@@ -15,16 +15,16 @@
     };
 }
 
-counts! {
+cell_counts! {
     a_small_fleet_is_one_cell: 13 => 1;
     forty_hosts_are_one_cell: 40 => 1;
-    a_few_more_are_two: 41 => 2;
-    today_s_largest_has_four: 126 => 4;
-    the_planned_size_has_sixteen: 370 => 16;
+    forty_one_hosts_are_two_cells: 41 => 2;
+    hundred_and_twenty_six_hosts_are_four_cells: 126 => 4;
+    the_planned_size_has_sixteen_cells: 370 => 16;
 }
 
 #[test]
-fn cells_have_few_dozen_hosts_each() {
+fn cells_have_a_few_dozen_hosts_each() {
     let cells = cell_count(370);
     let mut sizes = BTreeMap::new();
     for n in 0..370 {
--- a/crates/jaypin_router/tests/quota.rs
+++ b/crates/jaypin_router/tests/quota.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// A start so long ago that nothing of it counts any more.
+/// Returns a start time so long ago that the use from then no longer counts.
 fn long_before(now: Instant) -> Instant {
     now.checked_sub(WINDOW * 2)
         .expect("the machine runs for longer")
@@ -30,16 +30,16 @@
     AccountId::from("farm")
 }
 
-/// A quota of a host that has run for a while.
-fn settled(now: Instant) -> FleetQuota {
+/// Returns the quota of a host that has run for a while.
+fn long_running_quota(now: Instant) -> FleetQuota {
     let mut quota = FleetQuota::new(WINDOW, 0.0);
     let started = long_before(now);
     quota.configure(&[account(token_quota(RATE, RATE))], started);
     quota
 }
 
-/// Takes units of 100 every 10 ms for a time; gives how many.
-fn press(quota: &mut FleetQuota, now: &mut Instant, time: Duration) -> f64 {
+/// Tries to take 100 units every 10 ms for `time`; returns the units that it got.
+fn saturate(quota: &mut FleetQuota, now: &mut Instant, time: Duration) -> f64 {
     let end = *now + time;
     let mut taken = 0.0;
     while *now < end {
@@ -51,14 +51,14 @@
     taken
 }
 
-/// One account sends many times its usual. Over any window, wherever it begins, it gets its
-/// rate and burst, and not more than a tenth beyond them.
+/// Guards against an account that sends many times its normal load and exceeds its quota: in any
+/// window, wherever it begins, it gets its rate and burst, and not more than a tenth beyond them.
 #[test]
-fn an_account_that_presses_gets_its_rate_and_burst() {
+fn an_account_at_its_limit_gets_its_rate_and_burst() {
     let mut now = Instant::now();
-    let mut quota = settled(now);
+    let mut quota = long_running_quota(now);
     let step = Duration::from_millis(250);
-    let steps: Vec<f64> = (0..96).map(|_| press(&mut quota, &mut now, step)).collect();
+    let steps: Vec<f64> = (0..96).map(|_| saturate(&mut quota, &mut now, step)).collect();
     for window in steps.windows(32) {
         let taken: f64 = window.iter().sum();
         assert!(taken <= RATE * 9.0 * 1.1, "{taken}");
@@ -66,23 +66,25 @@
     }
 }
 
-/// An account presses, all hosts are killed, and it presses on. Its use before the kill is
-/// forgotten by everyone; both together must stay within a tenth of what a window allows.
+/// Guards against a second quota after a common restart. All hosts are killed while an account
+/// sends at its limit and goes on; they forget its use before the kill. Both together must stay
+/// within a tenth of what a window allows.
 #[test]
 fn a_common_restart_gives_no_second_quota() {
     for before in 1..8 {
         let mut now = Instant::now();
-        let mut quota = settled(now);
+        let mut quota = long_running_quota(now);
         let before = Duration::from_secs(before);
-        let mut taken = press(&mut quota, &mut now, before);
+        let mut taken = saturate(&mut quota, &mut now, before);
         let mut quota = FleetQuota::new(WINDOW, 0.0);
         quota.configure(&[account(token_quota(RATE, RATE))], now);
-        taken += press(&mut quota, &mut now, WINDOW.saturating_sub(before));
+        taken += saturate(&mut quota, &mut now, WINDOW.saturating_sub(before));
         assert!(taken <= RATE * 9.0 * 1.1, "{taken} after {before:?}");
     }
 }
 
-/// Each farm uses half of its quota, and all hosts restart: nobody may be refused.
+/// Guards against refusals after a common restart of all hosts while each account uses half of
+/// its quota.
 #[test]
 fn a_restart_refuses_nobody_who_keeps_to_the_quota() {
     let mut now = Instant::now();
@@ -95,27 +97,27 @@
 }
 
 #[test]
-fn what_peers_use_counts() {
+fn use_at_peers_counts() {
     let now = Instant::now();
-    let mut quota = settled(now);
+    let mut quota = long_running_quota(now);
     quota.record_peer_usage(&farm(), RATE * 9.0, now);
     let wait = quota.take(&farm(), 100.0, now);
     assert!(wait.is_err_and(|wait| wait > Duration::from_millis(100)));
 }
 
 #[test]
-fn each_part_of_a_split_fleet_allows_its_part() {
+fn each_part_of_a_split_fleet_grants_its_share() {
     let mut now = Instant::now();
-    let mut quota = settled(now);
+    let mut quota = long_running_quota(now);
     quota.set_live_fraction(0.25);
-    let taken = press(&mut quota, &mut now, WINDOW);
+    let taken = saturate(&mut quota, &mut now, WINDOW);
     assert!(taken <= RATE * 9.0 * 0.25 + RATE * 2.2, "{taken}");
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
+fn units_of_requests_that_did_not_run_are_returned() {
     let mut now = Instant::now();
-    let mut quota = settled(now);
+    let mut quota = long_running_quota(now);
     for _ in 0..1_000 {
         assert_eq!(quota.take(&farm(), 1_000.0, now), Ok(()));
         quota.give_back(&farm(), 1_000.0);
@@ -126,7 +128,7 @@
 #[test]
 fn a_request_larger_than_the_quota_passes_when_nothing_was_used() {
     let now = Instant::now();
-    let mut quota = settled(now);
+    let mut quota = long_running_quota(now);
     assert_eq!(quota.take(&farm(), RATE * 50.0, now), Ok(()));
     assert!(quota.take(&farm(), 1.0, now).is_err());
 }
@@ -134,13 +136,13 @@
 #[test]
 fn an_account_without_a_quota_is_not_limited() {
     let now = Instant::now();
-    let mut quota = settled(now);
+    let mut quota = long_running_quota(now);
     let other = AccountId::from("other");
     assert_eq!(quota.take(&other, f64::MAX, now), Ok(()));
 }
 
-/// A small account sends a prompt of three seconds' rate now and then. It keeps to its rate
-/// over any window, so it must not be refused.
+/// Guards against a small account that is refused although it keeps to its rate in any window: it
+/// sends a prompt of three seconds' rate now and then.
 #[test]
 fn the_fleet_s_slack_lets_small_accounts_send_long_prompts() {
     let mut now = Instant::now();
@@ -152,7 +154,8 @@
     }
 }
 
-/// The same account presses and all hosts restart: the slack is used once and not twice.
+/// Guards against slack that is used twice, once before and once after all hosts restart, by an
+/// account that sends at its limit.
 #[test]
 fn slack_is_not_used_twice_after_a_common_restart() {
     let slack = RATE * 5.0;
@@ -161,10 +164,10 @@
         let mut quota = FleetQuota::new(WINDOW, slack);
         quota.configure(&[account(token_quota(RATE, RATE))], long_before(now));
         let before = Duration::from_secs(before);
-        let mut taken = press(&mut quota, &mut now, before);
+        let mut taken = saturate(&mut quota, &mut now, before);
         let mut quota = FleetQuota::new(WINDOW, slack);
         quota.configure(&[account(token_quota(RATE, RATE))], now);
-        taken += press(&mut quota, &mut now, WINDOW.saturating_sub(before));
+        taken += saturate(&mut quota, &mut now, WINDOW.saturating_sub(before));
         assert!(
             taken <= RATE * 9.0 * 1.1 + slack,
             "{taken} after {before:?}"
@@ -172,10 +175,11 @@
     }
 }
 
-/// A fleet of four cells restarts. Each cell may give a quarter of a quota; if it took the
-/// whole fleet's use before as its own, every account would be refused for six seconds.
+/// Guards against a cell that counts the whole fleet's unknown use as its own. A fleet of four
+/// cells restarts, and each cell may grant a quarter of a quota; every account would be refused
+/// for six seconds.
 #[test]
-fn a_cell_takes_its_part_of_the_unknown_use_as_its_own() {
+fn a_cell_assumes_only_its_share_of_unknown_use() {
     let mut now = Instant::now();
     let mut quota = FleetQuota::new(WINDOW, 0.0);
     quota.configure(&[account(token_quota(RATE, RATE))], now);
@@ -187,19 +191,19 @@
     }
 }
 
-/// A fleet of four cells that do not hear each other's use. When each gave out the burst of
-/// the whole fleet at once, an account that pressed got it four times.
+/// Guards against cells that each grant the whole fleet's burst. Four cells do not receive each
+/// other's use, so an account that sends at its limit got the burst four times.
 #[test]
 fn cells_give_out_one_burst_together() {
     let mut now = Instant::now();
-    let mut cells: Vec<_> = (0..4).map(|_| settled(now)).collect();
+    let mut cells: Vec<_> = (0..4).map(|_| long_running_quota(now)).collect();
     let mut taken = 0.0;
     let end = now + WINDOW;
     while now < end {
         for quota in &mut cells {
             quota.set_live_fraction(0.25);
             let mut then = now;
-            taken += press(quota, &mut then, Duration::from_millis(10));
+            taken += saturate(quota, &mut then, Duration::from_millis(10));
         }
         now += Duration::from_millis(10);
     }
@@ -207,13 +211,14 @@
     assert!(taken >= RATE * 8.0, "{taken}");
 }
 
-/// Hosts restart in turn while an account presses. Each has forgotten what was used, and
-/// must not begin with a first level that the fleet no longer has.
+/// Guards against a level that is reset by restarts. Hosts restart in turn while an account sends
+/// at its limit; each has forgotten the use so far and must not begin with a first level that the
+/// fleet no longer has.
 #[test]
 fn hosts_that_restart_in_turn_take_over_the_level() {
     let mut now = Instant::now();
-    let mut old = settled(now);
-    press(&mut old, &mut now, WINDOW);
+    let mut old = long_running_quota(now);
+    saturate(&mut old, &mut now, WINDOW);
     let mut taken = 0.0;
     for _ in 0..8 {
         let mut new = FleetQuota::new(WINDOW, RATE * 5.0);
@@ -221,16 +226,17 @@
         for (account, level) in old.low_levels(now) {
             new.apply_peer_level(&account, level, now);
         }
-        let used = press(&mut new, &mut now, Duration::from_millis(10));
+        let used = saturate(&mut new, &mut now, Duration::from_millis(10));
         old.record_peer_usage(&farm(), used, now);
         taken += used;
     }
     assert!(taken <= 300.0, "{taken}");
 }
 
-/// Two hosts start together. What one has not opened yet must not hold the other back.
+/// Guards against two hosts that start together and hold each other back by levels that they have
+/// not opened yet.
 #[test]
-fn levels_of_a_host_that_has_just_started_tell_nothing() {
+fn a_host_that_has_just_started_reports_no_levels() {
     let now = Instant::now();
     let mut quota = FleetQuota::new(WINDOW, 0.0);
     quota.configure(&[account(token_quota(RATE, RATE))], now);
--- a/crates/jaypin_router/tests/quota_order.rs
+++ b/crates/jaypin_router/tests/quota_order.rs
@@ -1,10 +1,10 @@
-//! Accounts that press against their quota, and what they use the last of it for.
+//! Order in which requests of an account get the last units of its quota.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::{ENGINES, PLAIN, TestHost, Told, record, token_quota};
+use common::{ Decision, ENGINES, PLAIN, TestHost, record, token_quota};
 use jaypin_core::{AccountId, Reason};
 use jaypin_router::{Account, AccountArrivals, AttemptOutcome, FleetQuota, service_key};
 
@@ -14,114 +14,118 @@
     AccountId::from("farm")
 }
 
-/// A host alone, with an account that may use 10,000 units a second.
-fn limited() -> TestHost {
+/// Returns the only host of a fleet, with an account that may use 10,000 units per second.
+fn host_with_quota() -> TestHost {
     let mut configuration = common::configuration(1);
     configuration.accounts[0].quota = Some(token_quota(RATE, RATE));
-    let mut bed = TestHost::new(configuration);
+    let mut host = TestHost::new(configuration);
     for id in ["engine-1", "engine-22"] {
-        bed.set_entry(record(id, ENGINES, 1_000));
+        host.set_entry(record(id, ENGINES, 1_000));
     }
-    bed.set_entry(record("plain-1", PLAIN, 1_000));
-    // Its quota has filled up.
-    bed.wait(Duration::from_secs(3));
-    bed.prove();
-    bed
+    host.set_entry(record("plain-1", PLAIN, 1_000));
+    // By then, its quota is full.
+    host.wait(Duration::from_secs(3));
+    host.prove();
+    host
 }
 
-/// A request that is over as soon as it is sent.
-fn ask(bed: &mut TestHost, path: &str, tokens: Option<(u32, u32)>) -> Told {
-    let (number, told) = bed.arrive_as(|it| {
+/// Sends a request that ends as soon as it is sent.
+fn complete_request(host: &mut TestHost, path: &str, tokens: Option<(u32, u32)>) -> Decision {
+    let (number, decision) = host.arrive_with(|it| {
         path.clone_into(&mut it.path);
         it.tokens = tokens;
     });
-    if matches!(told, Told::Sent(_)) {
-        bed.answered(number);
-        bed.ended(number, AttemptOutcome::Complete);
+    if matches!(decision, Decision::Sent(_)) {
+        host.answered(number);
+        host.ended(number, AttemptOutcome::Complete);
     }
-    told
+    decision
 }
 
 #[derive(Debug, Default)]
-struct Asked {
+struct Tally {
     sent: u32,
-    over: u32,
+    over_quota: u32,
 }
 
-impl Asked {
-    fn count(&mut self, told: &Told) {
-        match told {
-            Told::Sent(_) => self.sent += 1,
-            Told::Refused(refusal) if refusal.reason == Reason::OverLimit => self.over += 1,
-            other => panic!("neither sent nor over the quota: {other:?}"),
+impl Tally {
+    fn record_decision(&mut self, decision: &Decision) {
+        match decision {
+            Decision::Sent(_) => self.sent += 1,
+            Decision::Refused(refusal) if refusal.reason == Reason::OverLimit => { self.over_quota += 1;
+            }
+            other => panic!("expected a sent request or one over the quota, found {other:?}"),
         }
     }
 
-    fn part(&self) -> f64 {
-        f64::from(self.sent) / f64::from(self.sent + self.over)
+    fn served_share(&self) -> f64 {
+        f64::from(self.sent) / f64::from(self.sent + self.over_quota)
     }
 }
 
-/// A shop's drafts are refused for its quota, which its notes of the night have used up.
-/// The account asks for one and a half times its rate for ten seconds, half of it for urgent
-/// requests. Units went to whoever came first, and a long draft needs those of several notes.
+/// Guards against urgent requests that are refused because deferrable ones have used up the
+/// quota. The account sends one and a half times its rate for ten seconds, half of it in urgent
+/// requests; units went to whichever request came first, and a long urgent request needs those of
+/// several short deferrable ones.
 #[test]
 fn the_last_of_a_quota_goes_to_urgent_requests() {
-    let mut bed = limited();
-    let (mut urgent, mut label) = (Asked::default(), Asked::default());
+    let mut host = host_with_quota();
+    let (mut urgent, mut label) = (Tally::default(), Tally::default());
     for turn in 0..200 {
         if turn % 10 == 0 {
-            let told = ask(&mut bed, "/urgent/1", Some((3_500, 500)));
-            urgent.count(&told);
+            let decision = complete_request(&mut host, "/urgent/1", Some((3_500, 500)));
+            urgent.record_decision(&decision);
         }
-        let told = ask(&mut bed, "/label/1", Some((300, 50)));
-        label.count(&told);
-        bed.wait(Duration::from_millis(50));
-        bed.prove();
+        let decision = complete_request(&mut host, "/label/1", Some((300, 50)));
+        label.record_decision(&decision);
+        host.wait(Duration::from_millis(50));
+        host.prove();
     }
-    assert!(urgent.part() >= 0.95, "{urgent:?}");
-    assert!(label.part() >= 0.25, "{label:?}");
+    assert!(urgent.served_share() >= 0.95, "{urgent:?}");
+    assert!(label.served_share() >= 0.25, "{label:?}");
 }
 
-/// A booking takes 200 units of a plain service. It competes for no engine, so it is not put
-/// behind prompts of thousands.
+/// Guards against a request to a plain service, of 200 units, that is refused in favour of
+/// prompts of thousands of units: it does not compete with them for an engine.
 #[test]
 fn a_plain_request_does_not_wait_for_prompts() {
-    let mut bed = limited();
-    let mut reads = Asked::default();
+    let mut host = host_with_quota();
+    let mut reads = Tally::default();
     for turn in 0..200 {
         if turn % 10 == 0 {
-            ask(&mut bed, "/urgent/1", Some((5_500, 500)));
+            complete_request(&mut host, "/urgent/1", Some((5_500, 500)));
         }
-        let told = ask(&mut bed, "/read/1", None);
+        let decision = complete_request(&mut host, "/read/1", None);
         if turn >= 100 {
-            reads.count(&told);
+            reads.record_decision(&decision);
         }
-        bed.wait(Duration::from_millis(50));
-        bed.prove();
+        host.wait(Duration::from_millis(50));
+        host.prove();
     }
-    assert!(reads.part() >= 0.9, "{reads:?}");
+    assert!(reads.served_share() >= 0.9, "{reads:?}");
 }
 
-/// An account that stays within its quota loses nothing by the order.
+/// Guards against a reserve for urgent requests that refuses requests of an account within its
+/// quota.
 #[test]
 fn an_account_within_its_quota_is_never_refused() {
-    let mut bed = limited();
+    let mut host = host_with_quota();
     for turn in 0..200 {
         if turn % 10 == 0 {
-            let told = ask(&mut bed, "/urgent/1", Some((1_500, 500)));
-            assert!(matches!(told, Told::Sent(_)), "{told:?}");
+            let decision = complete_request(&mut host, "/urgent/1", Some((1_500, 500)));
+            assert!(matches!(decision, Decision::Sent(_)), "{decision:?}");
         }
-        let told = ask(&mut bed, "/label/1", Some((200, 50)));
-        assert!(matches!(told, Told::Sent(_)), "{told:?}");
-        bed.wait(Duration::from_millis(50));
-        bed.prove();
+        let decision = complete_request(&mut host, "/label/1", Some((200, 50)));
+        assert!(matches!(decision, Decision::Sent(_)), "{decision:?}");
+        host.wait(Duration::from_millis(50));
+        host.prove();
     }
 }
 
-/// Whatever is to be left, a request that nothing else competes with passes in the end.
+/// Guards against a reserve so large that a request is refused for ever although none competes
+/// with it.
 #[test]
-fn nothing_is_refused_for_ever() {
+fn a_request_without_competition_is_not_refused_for_ever() {
     let now = Instant::now();
     let mut quota = FleetQuota::new(Duration::from_secs(8), 0.0);
     let account = Account {
@@ -138,36 +142,38 @@
     );
 }
 
-/// Units asked for by other services and by routes that are less urgent are not left.
+/// Guards against a reserve for requests that do not compete: those to other services and to less
+/// urgent routes.
 #[test]
 fn only_more_urgent_routes_of_the_service_count() {
     let now = Instant::now();
     let (engines, plain) = (service_key(ENGINES), service_key(PLAIN));
-    let mut asked = AccountArrivals::default();
+    let mut arrivals = AccountArrivals::default();
     for (route, units) in [
         ((engines, 0), 400.0),
         ((engines, 2), 800.0),
         ((plain, 0), 900.0),
     ] {
-        asked.record(&farm(), route, units, now);
+        arrivals.record(&farm(), route, units, now);
     }
-    let left = |rank| asked.units_to_reserve(&farm(), (engines, rank), 2.0, now);
-    assert!(left(0) < f64::EPSILON);
-    assert!(left(1) > 0.0 && (left(1) - left(2)).abs() < f64::EPSILON);
-    assert!(left(255) > left(2));
+    let reserved = |rank| arrivals.units_to_reserve(&farm(), (engines, rank), 2.0, now);
+    assert!(reserved(0) < f64::EPSILON);
+    assert!(reserved(1) > 0.0 && (reserved(1) - reserved(2)).abs() < f64::EPSILON);
+    assert!(reserved(255) > reserved(2));
 }
 
-/// An outside monitor reads why a label was over the quota although units were left.
+/// Guards against a refusal that hides its cause: the log must show why a deferrable request was
+/// over the quota although units were left.
 #[test]
-fn a_refusal_names_the_units_that_are_kept() {
-    let mut bed = limited();
+fn a_refusal_names_the_reserved_units() {
+    let mut host = host_with_quota();
     for _ in 0..5 {
-        ask(&mut bed, "/urgent/1", Some((3_500, 500)));
+        complete_request(&mut host, "/urgent/1", Some((3_500, 500)));
     }
-    let fx = bed.arrive_fx("/label/1", (300, 50));
-    let grounds = common::refusal_grounds(&fx);
+    let fx = host.arrive_effects("/label/1", (300, 50));
+    let inputs = common::refusal_inputs(&fx);
     insta::assert_snapshot!(
-        grounds,
+        inputs,
         @"350 units for `farm`, 5000 kept for more urgent requests, 1000 left, 16000 of 97000 used"
     );
 }
--- a/crates/jaypin_router/tests/requested_backoff.rs
+++ b/crates/jaypin_router/tests/requested_backoff.rs
@@ -88,7 +88,11 @@
     let mut host = TestHost::with_backends();
     let requests: Vec<_> = (0..10).map(|_| host.arrive("/ask/x", (600, 30))).collect();
     let is_sent_there = |decision: &Decision| *decision == Decision::Sent("engine-1".into());
-    let calls: Vec<_> = requests.iter().filter(|it| is_sent_there(&it.1)).take(2).collect();
+    let calls: Vec<_> = requests
+        .iter()
+        .filter(|it| is_sent_there(&it.1))
+        .take(2)
+        .collect();
     assert_eq!(calls.len(), 2);
     for (call, backoff) in calls.iter().zip([BACKOFF, Duration::from_millis(100)]) {
         host.apply(Event::HeaderReceived {
@@ -138,7 +142,8 @@
     let retry_after = decision.refusal().retry_after.expect("a retry-after time");
     assert!(
         retry_after >= Duration::from_millis(1_900),
-        "{retry_after:?}");
+        "{retry_after:?}"
+    );
     assert!(retry_after <= Duration::from_secs(3), "{retry_after:?}");
     assert!(common::refusal_inputs(&fx).contains("2 requested backoff"));
 }
@@ -204,17 +209,20 @@
     }
 }
 
-fn shedding_fleet(service: &str, count: usize,
-    shed_count: usize, seed: u64,) -> Fleet<SheddingBackends> {
+fn shedding_fleet(
+    service: &str,
+    count: usize,
+    shed_count: usize,
+    seed: u64,
+) -> Fleet<SheddingBackends> {
     let records: Vec<_> = (0..count)
         .map(|n| record(&format!("backend-{n}"), service, 10))
         .collect();
     let span = Duration::from_secs(2)..Duration::from_secs(9);
-    let shed = records.iter().take(shed_count);
+    let shedding = records.iter().take(shed_count);
     let backends = SheddingBackends {
         start: Instant::now(),
-        shed_spans:
-        shed.map(|it| (it.id.clone(), span.clone())).collect(),
+        shed_spans: shedding.map(|it| (it.id.clone(), span.clone())).collect(),
         backoffs: BTreeMap::new(),
         requests_in_backoff: BTreeMap::new(),
     };
--- a/crates/jaypin_router/tests/routes.rs
+++ b/crates/jaypin_router/tests/routes.rs
@@ -1,8 +1,8 @@
-//! Which route a request takes, and what the configuration does not allow.
+//! Selection of a request's route, and the requests that the configuration does not permit.
 
 mod common;
 
-use common::{TestHost, Told, configuration, route};
+use common::{TestHost, Decision, configuration, route};
 use jaypin_router::{Repeat, RouteTable, Unrouted};
 
 fn table() -> RouteTable {
@@ -31,46 +31,47 @@
 routes! {
     the_longest_prefix_wins: "api.example", "/a/b/c" => Some("a-b");
     a_prefix_ends_at_a_slash: "api.example", "/a/bc" => Some("a");
-    a_path_without_its_last_slash_is_another: "api.example", "/a" => Some("all");
+    a_path_without_its_last_slash_is_a_different_path: "api.example", "/a" => Some("all");
     a_prefix_may_be_the_whole_path: "api.example", "/a/b/" => Some("a-b");
-    host_names_have_no_case: "API.example", "/a/x" => Some("a");
+    host_names_are_case_insensitive: "API.example", "/a/x" => Some("a");
     another_host_has_no_routes: "other.example", "/a/x" => None;
-    a_path_without_a_slash_has_none: "api.example", "a" => None;
+    a_path_without_a_slash_has_no_route: "api.example", "a" => None;
 }
 
 macro_rules! admissions {
-    ($($name:ident: $credential:expr, $path:expr => $told:pat,)*) => {
+    ($($name:ident: $credential:expr, $path:expr => $decision:pat,)*) => {
         $(
             #[test]
             fn $name() {
-                let mut bed = TestHost::usual();
-                let (_, told) = bed.arrive_as(|it| {
+                let mut host = TestHost::with_backends();
+                let (_, decision) = host.arrive_with(|it| {
                     it.credential = $credential;
                     it.path = $path.to_owned();
                 });
-                assert!(matches!(told, $told), "{told:?}");
+                assert!(matches!(decision, $decision), "{decision:?}");
             }
         )*
     };
 }
 
 admissions! {
-    a_known_credential_is_served: Some("key".to_owned()), "/ask/1" => Told::Sent(_),
-    an_unknown_one_is_rejected: Some("no".to_owned()), "/ask/1"
-        => Told::Rejected(Unrouted::UnknownCredential),
-    none_is_rejected: None, "/ask/1" => Told::Rejected(Unrouted::UnknownCredential),
+    a_known_credential_is_served: Some("key".to_owned()), "/ask/1" => Decision::Sent(_),
+    an_unknown_credential_is_rejected: Some("no".to_owned()), "/ask/1"
+        => Decision::Rejected(Unrouted::UnknownCredential),
+    a_missing_credential_is_rejected: None, "/ask/1" => Decision::Rejected(Unrouted::UnknownCredential),
     an_unknown_path_is_rejected: Some("key".to_owned()), "/nothing/"
-        => Told::Rejected(Unrouted::NoRoute),
+        => Decision::Rejected(Unrouted::NoRoute),
 }
 
-/// Versions are read by a watch and by a listing, and the older one may be read last.
+/// Guards against a configuration that reverts to an older version: a watch and a listing both
+/// read versions, and the older one may be read last.
 #[test]
 fn an_older_configuration_never_replaces_a_newer_one() {
-    let mut bed = TestHost::usual();
+    let mut host = TestHost::with_backends();
     let mut newer = configuration(5);
     newer.routes.retain(|it| it.name != "ask");
-    bed.configure(newer);
-    bed.configure(configuration(4));
-    let (_, told) = bed.arrive("/ask/1", (10, 10));
-    assert_eq!(told, Told::Rejected(Unrouted::NoRoute));
+    host.configure(newer);
+    host.configure(configuration(4));
+    let (_, decision) = host.arrive("/ask/1", (10, 10));
+    assert_eq!(decision, Decision::Rejected(Unrouted::NoRoute));
 }
--- a/crates/jaypin_router/tests/store_eras_fleet.rs
+++ b/crates/jaypin_router/tests/store_eras_fleet.rs
@@ -1,5 +1,5 @@
-//! Several hosts before a store that comes back from an older copy: some read it, the others hear
-//! from them, late, and some reports are lost.
+//! Several hosts whose store is restored from an older copy. Some hosts read the store; the
+//! others depend on reports, which are late and may be lost.
 
 mod common;
 
@@ -16,7 +16,7 @@
 const HOSTS: usize = 6;
 const STEP: Duration = Duration::from_millis(50);
 
-/// A store with a history.
+/// A store whose revision grows with each write.
 #[derive(Clone, Default)]
 struct Store {
     entries: BTreeMap<String, (BackendRecord, u64)>,
@@ -37,23 +37,24 @@
 }
 
 struct Fleet {
-    beds: Vec<TestHost>,
-    coming: Vec<(Instant, usize, Box<Report>)>,
-    /// What the store has; what backend servers say of themselves, whether it is there or not.
+    hosts: Vec<TestHost>,
+    reports_in_transit: Vec<(Instant, usize, Box<Report>)>,
+    /// What the store has.
     store: Store,
-    truth: BTreeMap<String, BackendRecord>,
+    /// What backend servers last stated of themselves, whether the store has it or not.
+    actual: BTreeMap<String, BackendRecord>,
     era: u64,
-    /// A host that the store does not answer.
-    cut: Option<usize>,
+    /// A host that gets no answers from the store.
+    cut_off_host: Option<usize>,
     rng: ChaCha8Rng,
 }
 
 impl Fleet {
     fn new(seed: u64) -> Self {
         let now = Instant::now();
-        let beds = (0..HOSTS).map(|n| {
-            let mut bed = TestHost::unconfigured_as(u16::try_from(n).expect("few") + 1);
-            bed.now = now;
+        let hosts = (0..HOSTS).map(|n| {
+            let mut host = TestHost::unconfigured_as(u16::try_from(n).expect("few") + 1);
+            host.now = now;
             let all = (1..=HOSTS).map(|n| u16::try_from(n).expect("few"));
             let all = all.map(|n| {
                 (
@@ -61,76 +62,76 @@
                     common::address(7_000 + n),
                 )
             });
-            bed.apply(Event::HostsListed(all.collect()));
-            bed.configure(configuration(1));
-            bed
+            host.apply(Event::HostsListed(all.collect()));
+            host.configure(configuration(1));
+            host
         });
         let mut fleet = Self {
-            beds: beds.collect(),
-            coming: Vec::new(),
+            hosts: hosts.collect(),
+            reports_in_transit: Vec::new(),
             store: Store::default(),
-            truth: BTreeMap::new(),
+            actual: BTreeMap::new(),
             era: 1,
-            cut: None,
+            cut_off_host: None,
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for n in 0..8 {
-            fleet.state(record(&format!("engine-{n}"), ENGINES, 9));
+            fleet.write_entry(record(&format!("engine-{n}"), ENGINES, 9));
         }
         fleet
     }
 
-    fn state(&mut self, record: BackendRecord) {
-        self.truth.insert(record.id.to_string(), record.clone());
+    fn write_entry(&mut self, record: BackendRecord) {
+        self.actual.insert(record.id.to_string(), record.clone());
         self.store.write(record);
     }
 
-    /// A backend server begins to leave, ends, or starts as a new process.
-    fn change_one(&mut self) {
+    /// Changes a random backend server: it begins to leave, exits, or starts as a new process.
+    fn change_backend(&mut self) {
         let id = format!("engine-{}", self.rng.random_range(0..8));
-        let known = self.truth.get(&id).cloned();
+        let known = self.actual.get(&id).cloned();
         match known {
             Some(mut known) if known.status == BackendStatus::Ready => {
                 known.status = BackendStatus::Leaving;
-                self.state(known);
+                self.write_entry(known);
             }
             Some(_) => {
-                self.truth.remove(&id);
+                self.actual.remove(&id);
                 self.store.remove(&id);
             }
             None => {
                 let mut next = record(&id, ENGINES, 9);
                 next.started = self.rng.random_range(2..1_000_000);
-                self.state(next);
+                self.write_entry(next);
             }
         }
     }
 
     fn step(&mut self) {
         for n in 0..HOSTS {
-            self.beds[n].wait(STEP);
-            self.beds[n].prove();
-            let fx = self.beds[n].tick();
+            self.hosts[n].wait(STEP);
+            self.hosts[n].prove();
+            let fx = self.hosts[n].tick();
             self.carry_out(n, fx);
         }
-        let now = self.beds[0].now;
-        let due: Vec<_> = self.coming.extract_if(.., |it| it.0 <= now).collect();
+        let now = self.hosts[0].now;
+        let due: Vec<_> = self.reports_in_transit.extract_if(.., |it| it.0 <= now).collect();
         for (_, n, report) in due {
-            let boot_time: BootTime = self.beds[n].boot;
-            let fx = self.beds[n].apply(Event::ReportReceived { report, boot_time });
+            let boot_time: BootTime = self.hosts[n].boot_time;
+            let fx = self.hosts[n].apply(Event::ReportReceived { report, boot_time });
             self.carry_out(n, fx);
         }
         for n in 0..HOSTS {
-            let router = &self.beds[n].router;
-            let watches = router.is_watcher(now) && self.cut != Some(n);
+            let router = &self.hosts[n].router;
+            let watches = router.is_watcher(now) && self.cut_off_host != Some(n);
             let holder = router.entry_holders(now).first().copied();
-            let is_other = router.has_diverging_entries(now);
+            let differs = router.has_diverging_entries(now);
             if watches && self.rng.random_range(0..6) == 0 {
                 self.read(n);
-            } else if let Some(holder) = holder.filter(|_| is_other) {
+            } else if let Some(holder) = holder.filter(|_| differs) {
                 let holder = usize::from(holder.port() - 7_001);
-                let entries = self.beds[holder].router.entry_snapshot();
-                self.beds[n].apply(Event::EntriesTransferred(entries));
+                let entries = self.hosts[holder].router.entry_snapshot();
+                self.hosts[n].apply(Event::EntriesTransferred(entries));
             }
         }
     }
@@ -143,8 +144,8 @@
             entries: entries.collect(),
             point: point(self.store.revision),
         };
-        self.beds[n].apply(Event::StoreEra(self.era));
-        let fx = self.beds[n].apply(listed);
+        self.hosts[n].apply(Event::StoreEra(self.era));
+        let fx = self.hosts[n].apply(listed);
         self.carry_out(n, fx);
     }
 
@@ -159,15 +160,15 @@
                     continue;
                 }
                 let delay = Duration::from_millis(self.rng.random_range(10..400));
-                let at = self.beds[n].now + delay;
-                self.coming.push((at, peer, report.clone()));
+                let at = self.hosts[n].now + delay;
+                self.reports_in_transit.push((at, peer, report.clone()));
             }
         }
     }
 
-    /// What a host takes for ready, by id and process.
-    fn ready_at(&self, n: usize) -> Vec<(String, u64)> {
-        let stated = self.beds[n].router.entry_snapshot();
+    /// Returns the id and the process of each backend server that host `n` holds for ready.
+    fn ready_backends(&self, n: usize) -> Vec<(String, u64)> {
+        let stated = self.hosts[n].router.entry_snapshot();
         let ready = stated.into_iter().filter_map(|it| match it {
             EntryChange::Stated { record, .. } => Some(record),
             EntryChange::Removed { .. } => None,
@@ -185,53 +186,55 @@
     }
 }
 
-/// Guards against hosts that disagree for good, or keep what is gone, after one return or two
-/// within seconds, with a reader that misses them and backend servers that write again late.
+/// Guards against hosts that disagree for good, or keep removed backend servers, after one or two
+/// restores of the store within seconds, while one host may not reach the store and backend
+/// servers write their entries again late.
 #[test]
-fn hosts_agree_with_the_store_after_its_returns() {
+fn hosts_agree_with_the_store_after_restores() {
     for seed in 0..300 {
         let mut fleet = Fleet::new(seed);
         fleet.run(20);
-        let returns = fleet.rng.random_range(1..3);
-        for _ in 0..returns {
+        let restores = fleet.rng.random_range(1..3);
+        for _ in 0..restores {
             let copy = fleet.store.clone();
             for _ in 0..fleet.rng.random_range(1..8) {
-                fleet.change_one();
+                fleet.change_backend();
                 let steps = fleet.rng.random_range(0..10);
                 fleet.run(steps);
             }
             let host = fleet.rng.random_range(0..HOSTS);
-            fleet.cut = fleet.rng.random_bool(0.5).then_some(host);
+            fleet.cut_off_host = fleet.rng.random_bool(0.5).then_some(host);
             fleet.store = copy;
             fleet.era += 1;
             let steps = fleet.rng.random_range(0..30);
             fleet.run(steps);
         }
-        // Backend servers write again, in another order; leases of those that are gone lapse.
-        let mut again: Vec<_> = fleet.truth.values().cloned().collect();
-        while !again.is_empty() {
-            let record = again.swap_remove(fleet.rng.random_range(0..again.len()));
+        // The backend servers write their entries again, in another order; the leases of removed
+        // ones expire.
+        let mut unwritten: Vec<_> = fleet.actual.values().cloned().collect();
+        while !unwritten.is_empty() {
+            let record = unwritten.swap_remove(fleet.rng.random_range(0..unwritten.len()));
             fleet.store.write(record);
             let steps = fleet.rng.random_range(0..4);
             fleet.run(steps);
         }
-        let gone = fleet
+        let removed = fleet
             .store
             .entries
             .keys()
-            .filter(|id| !fleet.truth.contains_key(*id));
-        for id in gone.cloned().collect::<Vec<_>>() {
+            .filter(|id| !fleet.actual.contains_key(*id));
+        for id in removed.cloned().collect::<Vec<_>>() {
             fleet.store.remove(&id);
         }
-        fleet.cut = None;
+        fleet.cut_off_host = None;
         fleet.run(140);
-        let truth = fleet
-            .truth
+        let expected = fleet
+            .actual
             .values()
             .filter(|it| it.status == BackendStatus::Ready);
-        let truth: Vec<_> = truth.map(|it| (it.id.to_string(), it.started)).collect();
+        let expected: Vec<_> = expected.map(|it| (it.id.to_string(), it.started)).collect();
         for n in 0..HOSTS {
-            assert_eq!(fleet.ready_at(n), truth, "seed {seed}, host {n}");
+            assert_eq!(fleet.ready_backends(n), expected, "seed {seed}, host {n}");
         }
     }
 }
--- a/crates/jaypin_router/tests/views.rs
+++ b/crates/jaypin_router/tests/views.rs
@@ -1,4 +1,5 @@
-//! Which backend servers hosts of a large fleet use, and who hears of their load.
+//! Which backend servers the hosts of a large fleet use, and which hosts receive reports of their
+//! load.
 
 mod common;
 
@@ -10,7 +11,7 @@
 
 const SERVICE: &str = "engines";
 
-/// A fleet in which every host derives its own views.
+/// A fleet in which every host derives its own subsets of the backend servers.
 struct Fleet {
     hosts: Vec<(HostId, SocketAddr)>,
     engines: Vec<BackendId>,
@@ -26,12 +27,12 @@
         }
     }
 
-    fn views_of(&self, number: usize) -> BackendSubsets {
-        self.views_among(number, &self.engines)
+    fn subsets_of(&self, number: usize) -> BackendSubsets {
+        self.subsets_with_engines(number, &self.engines)
     }
 
-    /// What a host derives that knows of these engines only.
-    fn views_among(&self, number: usize, engines: &[BackendId]) -> BackendSubsets {
+    /// Returns the subsets that a host derives if it knows only these engines.
+    fn subsets_with_engines(&self, number: usize, engines: &[BackendId]) -> BackendSubsets {
         let own = &self.hosts[number].0;
         let others: Vec<_> = self
             .hosts
@@ -40,17 +41,17 @@
             .cloned()
             .collect();
         let backends = BTreeMap::from([(ServiceId::from(SERVICE), engines.to_vec())]);
-        let mut views = BackendSubsets::default();
-        views.recompute(own, &others, backends);
-        views
+        let mut subsets = BackendSubsets::default();
+        subsets.recompute(own, &others, backends);
+        subsets
     }
 
     fn all(&self) -> Vec<BackendSubsets> {
-        (0..self.hosts.len()).map(|it| self.views_of(it)).collect()
+        (0..self.hosts.len()).map(|it| self.subsets_of(it)).collect()
     }
 }
 
-macro_rules! kinds {
+macro_rules! view_kinds {
     ($($name:ident: $hosts:literal hosts, $backends:literal backends => $kind:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -59,7 +60,7 @@
     )*};
 }
 
-kinds! {
+view_kinds! {
     a_small_fleet_uses_everything: 15 hosts, 12 backends => SubsetKind::All;
     a_host_of_a_large_fleet_uses_a_dozen_engines: 195 hosts, 117 backends => SubsetKind::Subset(12);
     fewer_hosts_use_more_engines_each: 123 hosts, 90 backends => SubsetKind::Subset(15);
@@ -69,54 +70,53 @@
     few_engines_of_a_large_fleet: 100 hosts, 12 backends => SubsetKind::Subset(4);
 }
 
-/// Two hosts send to one engine and neither hears of the other's request: both take its slots
-/// for free, and requests wait inside it for whole runs. It was so for one request in five
-/// when hosts dealt engines out by what each took for the size of its neighbours' groups.
+/// Guards against hosts that share an engine without reports of each other's requests: both count
+/// its slots as free, and requests queue inside the engine for the length of whole answers. This
+/// happened to one request in five when hosts distributed the engines by their own estimates of
+/// the size of their neighbours' groups.
 #[test]
-fn whoever_uses_an_engine_hears_of_all_others_that_use_it() {
+fn hosts_report_to_all_other_users_of_an_engine() {
     let fleet = Fleet::new(195, 117);
     let all = fleet.all();
-    for (number, views) in all.iter().enumerate() {
-        for engine in views.own_subset(SERVICE) {
-            let told = views.peers_using(SERVICE, engine).expect("told one by one");
+    for (number, subsets) in all.iter().enumerate() {
+        for engine in subsets.own_subset(SERVICE) {
+            let report_targets = subsets.peers_using(SERVICE, engine).expect("a list of the users");
             for (other, theirs) in all.iter().enumerate() {
                 let uses = other != number && theirs.contains(SERVICE, engine);
                 let address = fleet.hosts[other].1;
-                assert!(!uses || told.contains(&address), "{engine} {address}");
+                assert!(!uses || report_targets.contains(&address), "{engine} {address}");
             }
         }
     }
 }
 
-/// An engine is added, and for a moment some hosts know of it and others don't. What they tell
-/// each other must not depend on who knows.
+/// Guards against missing reports while an engine is being added: the hosts to which a host
+/// reports must not depend on which hosts already know the engine.
 #[test]
-fn hosts_that_know_other_engines_still_tell_each_other() {
+fn hosts_that_know_different_engines_report_to_each_other() {
     let fleet = Fleet::new(195, 117);
-    let (sender, few) = (fleet.views_of(0), &fleet.engines[1..]);
+    let (sender, few) = (fleet.subsets_of(0), &fleet.engines[1..]);
     let mut missing = 0;
     for number in 1..195 {
-        let theirs = fleet.views_among(number, few);
+        let theirs = fleet.subsets_with_engines(number, few);
         let shared = theirs.own_subset(SERVICE).iter();
         let shared = shared.filter(|it| sender.contains(SERVICE, it));
         for engine in shared {
-            let told = sender
-                .peers_using(SERVICE, engine)
-                .expect("told one by one");
-            missing += u32::from(!told.contains(&fleet.hosts[number].1));
+            let report_targets = sender.peers_using(SERVICE, engine).expect("a list of the users");
+            missing += u32::from(!report_targets.contains(&fleet.hosts[number].1));
         }
     }
     assert_eq!(missing, 0);
 }
 
-/// What a request costs in reports must not grow with the fleet, and no engine may stand
-/// unused.
+/// Guards against a number of reports per request that grows with the fleet, and against engines
+/// that no host uses.
 #[test]
 fn each_engine_is_used_by_a_few_dozen_hosts() {
     for (hosts, engines) in [(195, 117), (123, 90), (370, 600)] {
         let mut users: HashMap<BackendId, usize> = HashMap::new();
-        for views in Fleet::new(hosts, engines).all() {
-            for engine in views.own_subset(SERVICE) {
+        for subsets in Fleet::new(hosts, engines).all() {
+            for engine in subsets.own_subset(SERVICE) {
                 *users.entry(engine.clone()).or_default() += 1;
             }
         }
@@ -127,36 +127,34 @@
     }
 }
 
-/// An engine is replaced. If hosts changed what they use, they would begin anew without
-/// knowing what runs there.
+/// Guards against hosts that change their subsets when one engine is replaced: they would not
+/// know what runs on the engines that are new to them.
 #[test]
-fn a_view_changes_by_one_when_an_engine_leaves() {
+fn a_subset_changes_by_one_when_an_engine_is_removed() {
     let fleet = Fleet::new(195, 117);
     for number in 0..20 {
-        let before = fleet.views_of(number);
-        let after = fleet.views_among(number, &fleet.engines[1..]);
+        let before = fleet.subsets_of(number);
+        let after = fleet.subsets_with_engines(number, &fleet.engines[1..]);
         let kept = before.own_subset(SERVICE).iter();
         let kept = kept.filter(|it| after.contains(SERVICE, it)).count();
         assert!(kept + 1 >= before.own_subset(SERVICE).len());
     }
 }
 
-/// Some callers' hosts get much of the load. It has to spill over to all engines, or one part
-/// of the fleet refuses urgent work while another serves what can wait.
+/// Guards against a fleet in which one part refuses urgent requests while another serves
+/// deferrable ones: when some hosts get much of the load, it must spread to all engines.
 #[test]
-fn views_overlap_until_all_engines_are_reached() {
+fn subsets_overlap_until_all_engines_are_reached() {
     let fleet = Fleet::new(195, 117);
     let all = fleet.all();
     let mut reached: Vec<_> = all[0].own_subset(SERVICE).to_vec();
     for _ in 0..2 {
-        let near = all.iter().filter(|views| {
-            let mut ours = views.own_subset(SERVICE).iter();
+        let connected = all.iter().filter(|subsets| {
+            let mut ours = subsets.own_subset(SERVICE).iter();
             ours.any(|it| reached.contains(it))
         });
-        let near: Vec<_> = near
-            .flat_map(|it| it.own_subset(SERVICE).to_vec())
-            .collect();
-        reached.extend(near);
+        let connected: Vec<_> = connected.flat_map(|it| it.own_subset(SERVICE).to_vec()).collect();
+        reached.extend(connected);
         reached.sort();
         reached.dedup();
     }
@@ -164,8 +162,8 @@
 }
 
 #[test]
-fn an_unknown_service_has_no_view() {
-    let views = BackendSubsets::default();
-    assert!(views.own_subset("none").is_empty());
-    assert_eq!(views.peers_using("none", "engine-1"), None);
+fn an_unknown_service_has_no_subset() {
+    let subsets = BackendSubsets::default();
+    assert!(subsets.own_subset("none").is_empty());
+    assert_eq!(subsets.peers_using("none", "engine-1"), None);
 }
--- a/crates/jaypin_router/tests/watching.rs
+++ b/crates/jaypin_router/tests/watching.rs
@@ -8,63 +8,64 @@
 use common::{ENGINES, TestHost, record};
 use jaypin_router::{BackendRecord, BackendStatus, Effect, Event};
 
-/// A host that has just read its configuration, beside registered hosts that it has not heard.
-fn started(others: u16) -> TestHost {
-    let mut bed = TestHost::unconfigured();
+/// Returns a host that has just read its configuration and knows `others` registered hosts, none
+/// of which has sent a report.
+fn started_host(others: u16) -> TestHost {
+    let mut host = TestHost::unconfigured();
     let wholes = (2..2 + others).map(common::whole_report);
     let hosts = wholes.map(|it| (it.host, it.address));
-    bed.apply(Event::HostsListed(hosts.collect()));
-    bed.configure(common::configuration(1));
-    bed.prove();
-    bed
+    host.apply(Event::HostsListed(hosts.collect()));
+    host.configure(common::configuration(1));
+    host.prove();
+    host
 }
 
-fn watches(bed: &TestHost) -> bool {
-    bed.router.should_watch(bed.now, bed.boot)
+fn should_watch(host: &TestHost) -> bool {
+    host.router.should_watch(host.now, host.boot_time)
 }
 
-/// A whole fleet starts. Each host reads the store within the same few milliseconds, before
-/// it has heard anybody. When each then began to watch, the store had as many watches as
-/// there are hosts, all but a few for nothing.
+/// Guards against a fleet that starts with one watch per host. Each host reads the store within
+/// the same few milliseconds, before it has received any report; when each then began to watch,
+/// the store had as many watches as there are hosts, and needed only a few of them.
 #[test]
 fn hosts_that_start_together_leave_watching_to_two() {
-    let bed = started(12);
-    assert!(!watches(&bed));
+    let host = started_host(12);
+    assert!(!should_watch(&host));
 }
 
-/// The registered hosts are gone for good: somebody has to watch.
+/// Guards against a store that nobody watches because the registered hosts are gone for good.
 #[test]
-fn a_host_that_hears_nobody_watches() {
-    let mut bed = started(12);
-    bed.wait(Duration::from_millis(1_600));
-    assert!(watches(&bed));
+fn a_host_without_peer_reports_watches() {
+    let mut host = started_host(12);
+    host.wait(Duration::from_millis(1_600));
+    assert!(should_watch(&host));
 }
 
 #[test]
 fn a_host_alone_watches_at_once() {
-    assert!(watches(&started(0)));
+    assert!(should_watch(&started_host(0)));
 }
 
-/// The configuration was read sooner than the list of hosts.
+/// Guards against a host that takes itself for the only one because it read the configuration
+/// before the list of hosts.
 #[test]
 fn a_host_that_does_not_know_the_fleet_waits() {
-    let mut bed = TestHost::unconfigured();
-    bed.configure(common::configuration(1));
-    bed.prove();
-    assert!(!watches(&bed));
-    bed.wait(Duration::from_millis(1_600));
-    assert!(watches(&bed));
+    let mut host = TestHost::unconfigured();
+    host.configure(common::configuration(1));
+    host.prove();
+    assert!(!should_watch(&host));
+    host.wait(Duration::from_millis(1_600));
+    assert!(should_watch(&host));
 }
 
-/// All hosts ask the store at once whether it is back, also those that peers will tell.
+/// Guards against hosts that all query a store at once to see whether it is back, although most
+/// would learn it from their peers.
 #[test]
-fn two_hosts_go_first_when_the_store_is_asked_again() {
-    let beds: Vec<_> = (1..=12).map(|own| heard_by(own, 12)).collect();
-    let first = beds
-        .iter()
-        .filter(|it| it.router.probes_store_first(it.now));
+fn two_hosts_query_the_store_first_after_an_outage() {
+    let hosts: Vec<_> = (1..=12).map(|own| host_with_reports_from_all(own, 12)).collect();
+    let first = hosts.iter().filter(|it| it.router.probes_store_first(it.now));
     assert_eq!(first.count(), 2);
-    let mut places: Vec<_> = beds
+    let mut places: Vec<_> = hosts
         .iter()
         .map(|it| it.router.store_probe_rank(it.now))
         .collect();
@@ -72,26 +73,27 @@
     assert_eq!(places, (0..12).collect::<Vec<_>>());
 }
 
-/// A host of a number that has heard all others.
-fn heard_by(own: u16, hosts: u16) -> TestHost {
-    let mut bed = TestHost::unconfigured_as(own);
+/// Returns the host `own` of a fleet, which has received a report from every other host.
+fn host_with_reports_from_all(own: u16, hosts: u16) -> TestHost {
+    let mut host = TestHost::unconfigured_as(own);
     for peer in (1..=hosts).filter(|it| *it != own) {
-        bed.receive_report(common::report(1, common::whole_report(peer)));
+        host.receive_report(common::report(1, common::whole_report(peer)));
     }
-    bed
+    host
 }
 
-/// Nothing is known yet, so there is nothing that could be left to others.
+/// Guards against a host without a configuration that leaves the reading to its peers: it knows
+/// of none.
 #[test]
 fn a_host_without_a_configuration_reads_at_once() {
-    let bed = TestHost::unconfigured();
-    assert!(watches(&bed));
+    let host = TestHost::unconfigured();
+    assert!(should_watch(&host));
 }
 
-/// What a host says of itself in the reports that are due within a moment.
-fn says_it_may_watch(bed: &mut TestHost) -> Option<bool> {
-    bed.wait(Duration::from_millis(10));
-    let fx = bed.tick();
+/// Returns whether the host states in the next reports that it may watch.
+fn reported_may_watch(host: &mut TestHost) -> Option<bool> {
+    host.wait(Duration::from_millis(10));
+    let fx = host.tick();
     let wholes = fx.into_iter().filter_map(|effect| match effect {
         Effect::SendReport { report, .. } => report.whole,
         _ => None,
@@ -99,61 +101,61 @@
     wholes.last().map(|whole| whole.store.may_watch)
 }
 
-/// A credential is withdrawn while the store turns both watchers away and serves everyone
-/// else. Peers relied on the two until their proofs were three seconds old, so requests with
-/// the credential ran for longer than operators allow.
+/// Guards against a withdrawn credential that is accepted for longer than operators allow. The
+/// store rejected both watchers and served everyone else; peers relied on the two until their
+/// proofs were three seconds old.
 #[test]
-fn a_watcher_that_is_turned_away_says_so_at_once() {
-    let mut bed = started(0);
+fn a_watcher_that_the_store_rejects_reports_it_at_once() {
+    let mut host = started_host(0);
     let peer = common::report(1, common::whole_report(2));
-    bed.receive_report(peer);
-    bed.wait(Duration::from_millis(500));
-    bed.prove();
-    assert_eq!(says_it_may_watch(&mut bed), Some(true));
-    bed.apply(Event::StoreCallFailed);
-    assert_eq!(says_it_may_watch(&mut bed), Some(false));
-    bed.prove();
-    assert_eq!(says_it_may_watch(&mut bed), Some(true));
-}
-
-/// The store says nothing more to the two that watch. The others have to ask it themselves
-/// soon enough for a change to be in force two seconds after it was accepted: the last
-/// answer proved what was so 1.2 s before it.
+    host.receive_report(peer);
+    host.wait(Duration::from_millis(500));
+    host.prove();
+    assert_eq!(reported_may_watch(&mut host), Some(true));
+    host.apply(Event::StoreCallFailed);
+    assert_eq!(reported_may_watch(&mut host), Some(false));
+    host.prove();
+    assert_eq!(reported_may_watch(&mut host), Some(true));
+}
+
+/// Guards against a change that is applied too late because the store has become silent towards
+/// the two watchers. The others must query it soon enough for a change to be in force two seconds
+/// after it was accepted: the last answer proved the state of 1.2 s before it.
 #[test]
-fn a_silent_store_is_asked_by_others_within_a_second_and_a_half() {
-    let mut bed = started(0);
-    let hear_watchers = |bed: &mut TestHost, sequence| {
+fn other_hosts_query_a_silent_store_within_a_second_and_a_half() {
+    let mut host = started_host(0);
+    let receive_watcher_reports = |host: &mut TestHost, sequence| {
         for peer in 2..12 {
             let mut whole = common::whole_report(peer);
             whole.store.may_watch = true;
-            bed.receive_report(common::report(sequence, whole));
+            host.receive_report(common::report(sequence, whole));
         }
     };
-    hear_watchers(&mut bed, 1);
-    let last_answer = bed.boot;
-    bed.wait(Duration::from_millis(1_200));
-    bed.apply(Event::ConfigurationProved(last_answer));
-    bed.wait(Duration::from_millis(1_100));
-    hear_watchers(&mut bed, 2);
-    assert!(!watches(&bed));
-    bed.wait(Duration::from_millis(400));
-    assert!(watches(&bed));
-}
-
-/// Ids of entries that the host tells within some seconds.
-fn told_entries(bed: &mut TestHost) -> Vec<String> {
-    let mut told = Vec::new();
+    receive_watcher_reports(&mut host, 1);
+    let last_answer = host.boot_time;
+    host.wait(Duration::from_millis(1_200));
+    host.apply(Event::ConfigurationProved(last_answer));
+    host.wait(Duration::from_millis(1_100));
+    receive_watcher_reports(&mut host, 2);
+    assert!(!should_watch(&host));
+    host.wait(Duration::from_millis(400));
+    assert!(should_watch(&host));
+}
+
+/// Returns the entry changes that the host reports within 4 s.
+fn reported_changes(host: &mut TestHost) -> Vec<String> {
+    let mut reported = Vec::new();
     for n in 0..40 {
-        bed.wait(Duration::from_millis(100));
-        let mut fx = bed.receive_report(common::report(n + 1, common::whole_report(2)));
-        fx.extend(bed.tick());
+        host.wait(Duration::from_millis(100));
+        let mut fx = host.receive_report(common::report(n + 1, common::whole_report(2)));
+        fx.extend(host.tick());
         for effect in fx {
             if let Effect::SendReport { report, .. } = effect {
-                told.extend(report.changes.iter().map(|it| format!("{it:?}")));
+                reported.extend(report.changes.iter().map(|it| format!("{it:?}")));
             }
         }
     }
-    told
+    reported
 }
 
 fn engines(count: usize) -> Vec<BackendRecord> {
@@ -161,45 +163,45 @@
     ids.collect()
 }
 
-/// Guards against a fleet that starts and floods itself: each host tells all entries that it has
-/// just listed to all others, which list them too.
+/// Guards against a fleet that floods itself at its start: each host would report all entries
+/// that it has just listed to all others, which list them too.
 #[test]
-fn a_first_listing_is_told_to_nobody() {
-    let mut bed = started(3);
-    bed.list(engines(200));
-    assert_eq!(told_entries(&mut bed), Vec::<String>::new());
+fn a_first_listing_is_reported_to_nobody() {
+    let mut host = started_host(3);
+    host.list_entries(engines(200));
+    assert_eq!(reported_changes(&mut host), Vec::<String>::new());
 }
 
-/// Guards against a change that is told to nobody because it was found by a listing.
+/// Guards against a change that is reported to nobody because a listing brought it.
 #[test]
-fn what_a_later_listing_changes_is_told() {
-    let mut bed = started(3);
-    bed.list(engines(200));
-    bed.list(engines(201));
-    let told = told_entries(&mut bed);
-    assert!((1..=3).contains(&told.len()), "{told:?}");
-    assert!(told[0].contains("engine-200"));
+fn changes_of_a_later_listing_are_reported() {
+    let mut host = started_host(3);
+    host.list_entries(engines(200));
+    host.list_entries(engines(201));
+    let reported = reported_changes(&mut host);
+    assert!((1..=3).contains(&reported.len()), "{reported:?}");
+    assert!(reported[0].contains("engine-200"));
 }
 
-/// Guards against work for backend servers that leave together: with hundreds of changes to tell,
-/// the last ones waited for the first to be told three times.
+/// Guards against requests to backend servers that leave together: with hundreds of changes to
+/// report, the last ones waited until the first had been reported three times.
 #[test]
-fn hundreds_of_changes_are_told_within_half_a_second() {
-    let mut bed = started(3);
-    bed.list(engines(450));
-    told_entries(&mut bed);
+fn hundreds_of_changes_are_reported_within_half_a_second() {
+    let mut host = started_host(3);
+    host.list_entries(engines(450));
+    reported_changes(&mut host);
     for mut record in engines(450) {
         record.status = BackendStatus::Leaving;
-        bed.set_entry(record);
+        host.set_entry(record);
     }
-    let mut told = BTreeSet::new();
+    let mut reported = BTreeSet::new();
     for _ in 0..50 {
-        bed.wait(Duration::from_millis(10));
-        for effect in bed.tick() {
+        host.wait(Duration::from_millis(10));
+        for effect in host.tick() {
             if let Effect::SendReport { report, .. } = effect {
-                told.extend(report.changes.iter().map(|it| format!("{it:?}")));
+                reported.extend(report.changes.iter().map(|it| format!("{it:?}")));
             }
         }
     }
-    assert_eq!(told.len(), 450);
+    assert_eq!(reported.len(), 450);
 }
