--- a/crates/jaypin_router/tests/answer_time.rs
+++ b/crates/jaypin_router/tests/answer_time.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{ENGINES, Decision, TestHost, record};
+use common::{Decision, ENGINES, TestHost, record};
 use jaypin_router::{BackendSamples, Effect, Event, EventRate, RequestNumber, backend_key};
 
 /// Time between two events of a fast engine's answer, and of a slow one's.
@@ -31,8 +31,11 @@
 
 /// Applies `events` events of an answer that arrive at the given interval.
 fn stream_events(
-    host: &mut TestHost, number: RequestNumber, events: u32,
-    interval: Duration,) -> Vec<Effect> {
+    host: &mut TestHost,
+    number: RequestNumber,
+    events: u32,
+    interval: Duration,
+) -> Vec<Effect> {
     let time = interval * events;
     host.wait(time);
     host.apply(Event::Streamed {
@@ -116,18 +119,24 @@
     estimate.record(4.0, 0.32);
     estimate.record(4.0, 0.32);
     assert!(
-        seconds_per_event(&estimate) > 0.04, "{}",
-        seconds_per_event(&estimate));
+        seconds_per_event(&estimate) > 0.04,
+        "{}",
+        seconds_per_event(&estimate)
+    );
     estimate.record(8.0, 0.064);
     assert!(
-        seconds_per_event(&estimate) > 0.02, "{}",
-        seconds_per_event(&estimate));
+        seconds_per_event(&estimate) > 0.02,
+        "{}",
+        seconds_per_event(&estimate)
+    );
     for _ in 0..20 {
         estimate.record(8.0, 0.064);
     }
     assert!(
-        seconds_per_event(&estimate) < 0.012, "{}",
-        seconds_per_event(&estimate));
+        seconds_per_event(&estimate) < 0.012,
+        "{}",
+        seconds_per_event(&estimate)
+    );
 }
 
 #[test]
--- a/crates/jaypin_router/tests/attempts.rs
+++ b/crates/jaypin_router/tests/attempts.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{ENGINES, Decision, TestHost, record};
+use common::{Decision, ENGINES, TestHost, record};
 use jaypin_core::{Ran, Reason};
 use jaypin_router::{AttemptOutcome as Outcome, Effect, ResendBudget};
 
@@ -64,7 +64,8 @@
 fn the_answer_of_a_failed_command_is_passed_on() {
     assert_eq!(
         decision_after("/command/1", Outcome::Failed),
-        Decision::PassedOn);
+        Decision::PassedOn
+    );
 }
 
 #[test]
@@ -91,8 +92,10 @@
     }
     assert_eq!(resent, 207);
     now += window;
-    assert!(budget.take(now),
-        "resends of an earlier window no longer count");
+    assert!(
+        budget.take(now),
+        "resends of an earlier window no longer count"
+    );
 }
 
 /// Guards against a request that crashes each engine that begins to run it and that its caller
@@ -146,7 +149,9 @@
         let fx = host.arrive_effects(path, (600, 300));
         fx.iter().find_map(|effect| match effect {
             Effect::Send {
-                stall_timeout: longest_pause, .. } => Some(*longest_pause),
+                stall_timeout: longest_pause,
+                ..
+            } => Some(*longest_pause),
             _ => None,
         })
     };
--- a/crates/jaypin_router/tests/common/fleet.rs
+++ b/crates/jaypin_router/tests/common/fleet.rs
@@ -56,8 +56,7 @@
         Self {
             signals,
             backoff: None,
-            header_after:
-            first,
+            header_after: first,
             end_after: first * 6,
             outcome: AttemptOutcome::Complete,
         }
@@ -252,7 +251,8 @@
         let due: Vec<_> = host.deliveries.extract_if(.., |it| it.0 <= now).collect();
         for (_, delivery) in due {
             match delivery {
-                Delivery::Report(report) => { self.apply(n, Event::ReportReceived { report, boot_time });
+                Delivery::Report(report) => {
+                    self.apply(n, Event::ReportReceived { report, boot_time });
                 }
                 Delivery::Header(number, backend, answer) => {
                     self.backends.header_received(n, &backend, &answer, now);
@@ -268,7 +268,8 @@
                         self.apply(n, Event::ResponseStarted(number));
                     }
                 }
-                Delivery::End(number, outcome) => { self.apply(n, Event::AttemptEnded { number, outcome });
+                Delivery::End(number, outcome) => {
+                    self.apply(n, Event::AttemptEnded { number, outcome });
                 }
             }
         }
--- a/crates/jaypin_router/tests/heavy_days.rs
+++ b/crates/jaypin_router/tests/heavy_days.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{ENGINES, Decision, TestHost, record};
+use common::{Decision, ENGINES, TestHost, record};
 use jaypin_core::{Ran, Reason};
 use jaypin_router::{AttemptOutcome, BackendLoad, Effect, Event, backend_key};
 
@@ -103,8 +103,10 @@
     host.receive_loads(vec![("engine-1", 8)]);
     host.wait(Duration::from_millis(30));
     let fx = host.tick();
-    assert!(matches!(common::decision_for(&fx, urgent),
-        Decision::Sent(_)));
+    assert!(matches!(
+        common::decision_for(&fx, urgent),
+        Decision::Sent(_)
+    ));
     assert_eq!(common::decision_for(&fx, ask), Decision::Queued);
     assert_eq!(common::decision_for(&fx, label), Decision::Queued);
 }
@@ -142,8 +144,10 @@
         number: first,
         outcome: AttemptOutcome::Complete,
     });
-    assert!(matches!(common::decision_for(&fx, second),
-        Decision::Sent(_)));
+    assert!(matches!(
+        common::decision_for(&fx, second),
+        Decision::Sent(_)
+    ));
 }
 
 /// Guards against peers that count a taken slot as free, as they do until the report of it
--- a/crates/jaypin_router/tests/lapse.rs
+++ b/crates/jaypin_router/tests/lapse.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{ENGINES, Decision, TestHost, record};
+use common::{Decision, ENGINES, TestHost, record};
 use jaypin_core::Reason;
 use jaypin_router::{BackendStatus, Event, StorePoint};
 
@@ -62,7 +62,9 @@
     for id in &ids {
         host.remove_entry(id);
     }
-    let due = host.router.next_tick(host.now + Duration::from_millis(1_600));
+    let due = host
+        .router
+        .next_tick(host.now + Duration::from_millis(1_600));
     assert!(due <= host.now + Duration::from_millis(1_750));
     host.wait(Duration::from_millis(1_750));
     host.tick();
--- a/crates/jaypin_router/tests/odd_settings.rs
+++ b/crates/jaypin_router/tests/odd_settings.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{ENGINES, Decision, TestHost, record, token_quota};
+use common::{Decision, ENGINES, TestHost, record, token_quota};
 use jaypin_router::Configuration;
 
 /// Checks whether at least one of 20 requests within five seconds is sent to a backend server.
--- a/crates/jaypin_router/tests/proof.rs
+++ b/crates/jaypin_router/tests/proof.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{TestHost, Decision, configuration, record};
+use common::{Decision, TestHost, configuration, record};
 use jaypin_core::{Ran, Reason};
 use jaypin_router::{Effect, Event, PeerClock, Report, StoreView, WholeReport};
 
@@ -92,7 +92,9 @@
         clock.record(sent, SECOND * second + Duration::from_millis(2));
     }
     clock.record(SECOND * 110, SECOND * 13);
-    let own = clock.to_local_time(SECOND * 110).expect("the clock is known");
+    let own = clock
+        .to_local_time(SECOND * 110)
+        .expect("the clock is known");
     assert!(own <= SECOND * 10, "{own:?}");
     assert!(own + Duration::from_millis(100) >= SECOND * 10, "{own:?}");
 }
@@ -146,7 +148,10 @@
 
 #[test]
 fn a_watcher_s_proof_holds_for_its_cell() {
-    assert!(is_ready_after_peer_proofs(Duration::from_hours(25), Duration::ZERO));
+    assert!(is_ready_after_peer_proofs(
+        Duration::from_hours(25),
+        Duration::ZERO
+    ));
 }
 
 /// Guards against a large fleet whose hosts all query the store because none of them is watching
@@ -191,7 +196,8 @@
     let fx = host.arrive_effects("/ask/1", (600, 300));
     let inputs = fx.into_iter().find_map(|effect| match effect {
         Effect::Refuse {
-            inputs: grounds, .. } => Some(grounds.to_string()),
+            inputs: grounds, ..
+        } => Some(grounds.to_string()),
         _ => None,
     });
     insta::assert_snapshot!(inputs.expect("a refusal"), @"configuration 1, proved 5000 ms ago");
--- a/crates/jaypin_router/tests/quota.rs
+++ b/crates/jaypin_router/tests/quota.rs
@@ -58,7 +58,9 @@
     let mut now = Instant::now();
     let mut quota = long_running_quota(now);
     let step = Duration::from_millis(250);
-    let steps: Vec<f64> = (0..96).map(|_| saturate(&mut quota, &mut now, step)).collect();
+    let steps: Vec<f64> = (0..96)
+        .map(|_| saturate(&mut quota, &mut now, step))
+        .collect();
     for window in steps.windows(32) {
         let taken: f64 = window.iter().sum();
         assert!(taken <= RATE * 9.0 * 1.1, "{taken}");
--- a/crates/jaypin_router/tests/quota_at_start.rs
+++ b/crates/jaypin_router/tests/quota_at_start.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{ENGINES, Decision, TestHost, record, token_quota};
+use common::{Decision, ENGINES, TestHost, record, token_quota};
 use jaypin_router::Event;
 
 /// Numbers of the other twelve hosts.
--- a/crates/jaypin_router/tests/quota_order.rs
+++ b/crates/jaypin_router/tests/quota_order.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{ Decision, ENGINES, PLAIN, TestHost, record, token_quota};
+use common::{Decision, ENGINES, PLAIN, TestHost, record, token_quota};
 use jaypin_core::{AccountId, Reason};
 use jaypin_router::{Account, AccountArrivals, AttemptOutcome, FleetQuota, service_key};
 
@@ -52,7 +52,8 @@
     fn record_decision(&mut self, decision: &Decision) {
         match decision {
             Decision::Sent(_) => self.sent += 1,
-            Decision::Refused(refusal) if refusal.reason == Reason::OverLimit => { self.over_quota += 1;
+            Decision::Refused(refusal) if refusal.reason == Reason::OverLimit => {
+                self.over_quota += 1;
             }
             other => panic!("expected a sent request or one over the quota, found {other:?}"),
         }
--- a/crates/jaypin_router/tests/requested_backoff.rs
+++ b/crates/jaypin_router/tests/requested_backoff.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use common::{ Decision, ENGINES, PLAIN, TestHost, configuration, record};
+use common::{Decision, ENGINES, PLAIN, TestHost, configuration, record};
 use fleet::{Answer, BackendModel, Call, Fleet};
 use jaypin_core::BackendId;
 use jaypin_router::{AttemptOutcome, BackendSignals, Event};
--- a/crates/jaypin_router/tests/routes.rs
+++ b/crates/jaypin_router/tests/routes.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{TestHost, Decision, configuration, route};
+use common::{Decision, TestHost, configuration, route};
 use jaypin_router::{Repeat, RouteTable, Unrouted};
 
 fn table() -> RouteTable {
--- a/crates/jaypin_router/tests/snapshots.rs
+++ b/crates/jaypin_router/tests/snapshots.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{ENGINES, Decision, TestHost, record};
+use common::{Decision, ENGINES, TestHost, record};
 use jaypin_router::{
     BackendStatus, EntryChange, Event, Report, StorePoint, StoreView, WholeReport,
 };
--- a/crates/jaypin_router/tests/store_eras.rs
+++ b/crates/jaypin_router/tests/store_eras.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{ENGINES, Decision, TestHost, configuration, record};
+use common::{Decision, ENGINES, TestHost, configuration, record};
 use jaypin_router::{
     BackendRecord, BackendStatus, Effect, EntryChange, Event, ExposureBound, RolloutOrder,
     RolloutReport, RolloutState, StorePoint, VersionOutcomes,
@@ -31,7 +31,10 @@
 fn a_report_of_the_former_era_changes_nothing() {
     let mut host = TestHost::with_backends();
     host.apply(Event::BackendChanged(stated(
-        leaving_record("engine-1"), 2, 3,)));
+        leaving_record("engine-1"),
+        2,
+        3,
+    )));
     let mut report = common::report(1, common::whole_report(2));
     let old = record("engine-1", ENGINES, 9);
     report.changes.push(stated(old.clone(), 1, 900));
@@ -175,7 +178,12 @@
     )));
     let written = rollout_writes(&mut host);
     assert_eq!(written[0].point, StorePoint::new(2, 400));
-    host.apply(Event::RolloutOrderRead(rollout_order("v2", 2, 402, RolloutState::Done,)));
+    host.apply(Event::RolloutOrderRead(rollout_order(
+        "v2",
+        2,
+        402,
+        RolloutState::Done,
+    )));
     assert_eq!(rollout_writes(&mut host), Vec::new());
 }
 
--- a/crates/jaypin_router/tests/store_eras_fleet.rs
+++ b/crates/jaypin_router/tests/store_eras_fleet.rs
@@ -115,7 +115,10 @@
             self.carry_out(n, fx);
         }
         let now = self.hosts[0].now;
-        let due: Vec<_> = self.reports_in_transit.extract_if(.., |it| it.0 <= now).collect();
+        let due: Vec<_> = self
+            .reports_in_transit
+            .extract_if(.., |it| it.0 <= now)
+            .collect();
         for (_, n, report) in due {
             let boot_time: BootTime = self.hosts[n].boot_time;
             let fx = self.hosts[n].apply(Event::ReportReceived { report, boot_time });
--- a/crates/jaypin_router/tests/views.rs
+++ b/crates/jaypin_router/tests/views.rs
@@ -47,7 +47,9 @@
     }
 
     fn all(&self) -> Vec<BackendSubsets> {
-        (0..self.hosts.len()).map(|it| self.subsets_of(it)).collect()
+        (0..self.hosts.len())
+            .map(|it| self.subsets_of(it))
+            .collect()
     }
 }
 
@@ -80,11 +82,16 @@
     let all = fleet.all();
     for (number, subsets) in all.iter().enumerate() {
         for engine in subsets.own_subset(SERVICE) {
-            let report_targets = subsets.peers_using(SERVICE, engine).expect("a list of the users");
+            let report_targets = subsets
+                .peers_using(SERVICE, engine)
+                .expect("a list of the users");
             for (other, theirs) in all.iter().enumerate() {
                 let uses = other != number && theirs.contains(SERVICE, engine);
                 let address = fleet.hosts[other].1;
-                assert!(!uses || report_targets.contains(&address), "{engine} {address}");
+                assert!(
+                    !uses || report_targets.contains(&address),
+                    "{engine} {address}"
+                );
             }
         }
     }
@@ -102,7 +109,9 @@
         let shared = theirs.own_subset(SERVICE).iter();
         let shared = shared.filter(|it| sender.contains(SERVICE, it));
         for engine in shared {
-            let report_targets = sender.peers_using(SERVICE, engine).expect("a list of the users");
+            let report_targets = sender
+                .peers_using(SERVICE, engine)
+                .expect("a list of the users");
             missing += u32::from(!report_targets.contains(&fleet.hosts[number].1));
         }
     }
@@ -153,7 +162,9 @@
             let mut ours = subsets.own_subset(SERVICE).iter();
             ours.any(|it| reached.contains(it))
         });
-        let connected: Vec<_> = connected.flat_map(|it| it.own_subset(SERVICE).to_vec()).collect();
+        let connected: Vec<_> = connected
+            .flat_map(|it| it.own_subset(SERVICE).to_vec())
+            .collect();
         reached.extend(connected);
         reached.sort();
         reached.dedup();
--- a/crates/jaypin_router/tests/watching.rs
+++ b/crates/jaypin_router/tests/watching.rs
@@ -62,8 +62,12 @@
 /// would learn it from their peers.
 #[test]
 fn two_hosts_query_the_store_first_after_an_outage() {
-    let hosts: Vec<_> = (1..=12).map(|own| host_with_reports_from_all(own, 12)).collect();
-    let first = hosts.iter().filter(|it| it.router.probes_store_first(it.now));
+    let hosts: Vec<_> = (1..=12)
+        .map(|own| host_with_reports_from_all(own, 12))
+        .collect();
+    let first = hosts
+        .iter()
+        .filter(|it| it.router.probes_store_first(it.now));
     assert_eq!(first.count(), 2);
     let mut places: Vec<_> = hosts
         .iter()
