--- a/crates/jaypin_router/tests/attempts.rs
+++ b/crates/jaypin_router/tests/attempts.rs
@@ -61,10 +61,10 @@
 }
 
 #[test]
-fn the_answer_of_a_failed_command_is_passed_on() {
+fn the_answer_of_a_failed_command_is_forwarded() {
     assert_eq!(
         decision_after("/command/1", Outcome::Failed),
-        Decision::PassedOn
+        Decision::FailureForwarded
     );
 }
 
@@ -74,7 +74,10 @@
     let (number, first) = host.arrive("/read/1", (0, 0));
     let second = host.ended(number, Outcome::Failed);
     assert_ne!(first.backend(), second.backend());
-    assert_eq!(host.ended(number, Outcome::Failed), Decision::PassedOn);
+    assert_eq!(
+        host.ended(number, Outcome::Failed),
+        Decision::FailureForwarded
+    );
 }
 
 /// Guards against retries that double the load for nothing when all backend servers fail every
@@ -123,7 +126,7 @@
 }
 
 #[test]
-fn a_leaving_host_takes_requests_for_a_while_and_then_refuses() {
+fn a_draining_host_accepts_requests_for_a_while_and_then_refuses() {
     let mut host = TestHost::with_backends();
     host.apply(jaypin_router::Event::Drain);
     let (_, decision) = host.arrive("/ask/1", (10, 10));
@@ -145,17 +148,14 @@
     }
     let mut host = TestHost::new(configuration);
     host.set_entry(record("engine-1", ENGINES, 9));
-    let pause_limit = |host: &mut TestHost, path: &str| {
+    let stall_timeout = |host: &mut TestHost, path: &str| {
         let fx = host.arrive_effects(path, (600, 300));
         fx.iter().find_map(|effect| match effect {
-            Effect::Send {
-                stall_timeout: longest_pause,
-                ..
-            } => Some(*longest_pause),
+            Effect::Send { stall_timeout, .. } => Some(*stall_timeout),
             _ => None,
         })
     };
-    let resumable = pause_limit(&mut host, "/ask/1");
+    let resumable = stall_timeout(&mut host, "/ask/1");
     assert_eq!(resumable, Some(Some(Duration::from_millis(1_800))));
-    assert_eq!(pause_limit(&mut host, "/label/1"), Some(None));
+    assert_eq!(stall_timeout(&mut host, "/label/1"), Some(None));
 }
--- a/crates/jaypin_router/tests/common/mod.rs
+++ b/crates/jaypin_router/tests/common/mod.rs
@@ -28,8 +28,8 @@
     Refused(Refusal),
     /// The request has no known credential or no route.
     Rejected(Unrouted),
-    /// The caller receives the backend server's own answer.
-    PassedOn,
+    /// The caller receives the backend server's own failure answer.
+    FailureForwarded,
     /// The request is queued.
     Queued,
 }
@@ -395,7 +395,7 @@
         Effect::Reject {
             number: of, reason, ..
         } if *of == number => Some(Decision::Rejected(*reason)),
-        Effect::ForwardFailure(of) if *of == number => Some(Decision::PassedOn),
+        Effect::ForwardFailure(of) if *of == number => Some(Decision::FailureForwarded),
         _ => None,
     });
     let first = decisions.next();
@@ -427,11 +427,9 @@
 
 /// Returns the inputs of the first refusal among `fx`, as a log line prints them.
 pub fn refusal_inputs(fx: &[Effect]) -> String {
-    let mut grounds = fx.iter().filter_map(|effect| match effect {
-        Effect::Refuse {
-            inputs: grounds, ..
-        } => Some(grounds.to_string()),
+    let mut inputs = fx.iter().filter_map(|effect| match effect {
+        Effect::Refuse { inputs, .. } => Some(inputs.to_string()),
         _ => None,
     });
-    grounds.next().expect("a refusal among the effects")
+    inputs.next().expect("a refusal among the effects")
 }
--- a/crates/jaypin_router/tests/leaving_backends.rs
+++ b/crates/jaypin_router/tests/leaving_backends.rs
@@ -77,7 +77,7 @@
 // the store says about it.
 stays_excluded! {
     nothing_new_is_sent_after_the_leaving_signal: |_: &mut TestHost| {};
-    a_listing_that_calls_it_ready_changes_nothing: |host: &mut TestHost| {
+    a_listing_that_shows_it_ready_changes_nothing: |host: &mut TestHost| {
         host.list_entries(vec![record("engine-1", ENGINES, 9), record("engine-22", ENGINES, 9)]);
     };
     its_entry_stated_again_changes_nothing: |host: &mut TestHost| host.set_entry(record("engine-1", ENGINES, 9));
@@ -191,13 +191,13 @@
         fleet.backends.start = fleet.start;
         fleet.rate = 120.0;
         fleet.run_until(Duration::from_secs(8), |_| {});
-        let seen = &fleet.backends;
-        assert!(!seen.signal_received_at.is_empty(), "seed {seed}");
-        assert_eq!(seen.latest_after_signal, Duration::ZERO, "seed {seed}");
+        let backends = &fleet.backends;
+        assert!(!backends.signal_received_at.is_empty(), "seed {seed}");
+        assert_eq!(backends.latest_after_signal, Duration::ZERO, "seed {seed}");
         assert!(
-            seen.requests_after_signal <= 3,
+            backends.requests_after_signal <= 3,
             "seed {seed}: {} requests after the signal",
-            seen.requests_after_signal
+            backends.requests_after_signal
         );
     }
 }
--- a/crates/jaypin_router/tests/order.rs
+++ b/crates/jaypin_router/tests/order.rs
@@ -255,7 +255,7 @@
     assert!(after < 1.0, "{after}");
 }
 
-/// Guards against a reserve that grows with the arrival rate: it covers only the arrivals of a
+/// Guards against a reserve of many slots at a high arrival rate: it covers only the arrivals of a
 /// moment and their variation.
 #[test]
 fn few_slots_are_reserved() {
@@ -319,25 +319,25 @@
 #[test]
 fn minimum_shares_forget_requests_of_long_ago() {
     let service = service_key(ENGINES);
-    let mut floors = MinimumShares::default();
+    let mut shares = MinimumShares::default();
     for _ in 0..1_000 {
-        floors.record_arrival(service, DEFERRABLE);
-        floors.record_sent(service, DEFERRABLE);
+        shares.record_arrival(service, DEFERRABLE);
+        shares.record_sent(service, DEFERRABLE);
     }
     let until_behind = (0..100).find(|_| {
-        floors.record_arrival(service, DEFERRABLE);
-        floors.is_behind(service, DEFERRABLE)
+        shares.record_arrival(service, DEFERRABLE);
+        shares.is_behind(service, DEFERRABLE)
     });
     assert!(
         until_behind.is_some_and(|count| count < 20),
         "{until_behind:?}"
     );
     for _ in 0..1_000 {
-        floors.record_arrival(service, DEFERRABLE);
+        shares.record_arrival(service, DEFERRABLE);
     }
     let preferred = (0..100).take_while(|_| {
-        let is_behind = floors.is_behind(service, DEFERRABLE);
-        floors.record_sent(service, DEFERRABLE);
+        let is_behind = shares.is_behind(service, DEFERRABLE);
+        shares.record_sent(service, DEFERRABLE);
         is_behind
     });
     assert!(preferred.count() <= 3);
--- a/crates/jaypin_router/tests/proof.rs
+++ b/crates/jaypin_router/tests/proof.rs
@@ -182,8 +182,8 @@
 #[test]
 fn nothing_is_reported_before_the_clock_was_read() {
     let mut host = TestHost::unconfigured();
-    let discovered = Event::HostsListed(vec![("host-2".into(), common::address(7_002))]);
-    assert_eq!(host.apply(discovered), []);
+    let listed = Event::HostsListed(vec![("host-2".into(), common::address(7_002))]);
+    assert_eq!(host.apply(listed), []);
     assert!(matches!(host.tick()[..], [Effect::SendReport { .. }]));
 }
 
@@ -195,9 +195,7 @@
     host.wait(Duration::from_secs(5));
     let fx = host.arrive_effects("/ask/1", (600, 300));
     let inputs = fx.into_iter().find_map(|effect| match effect {
-        Effect::Refuse {
-            inputs: grounds, ..
-        } => Some(grounds.to_string()),
+        Effect::Refuse { inputs, .. } => Some(inputs.to_string()),
         _ => None,
     });
     insta::assert_snapshot!(inputs.expect("a refusal"), @"configuration 1, proved 5000 ms ago");
--- a/crates/jaypin_router/tests/quota.rs
+++ b/crates/jaypin_router/tests/quota.rs
@@ -196,7 +196,7 @@
 /// Guards against cells that each grant the whole fleet's burst. Four cells do not receive each
 /// other's use, so an account that sends at its limit got the burst four times.
 #[test]
-fn cells_give_out_one_burst_together() {
+fn cells_grant_one_burst_together() {
     let mut now = Instant::now();
     let mut cells: Vec<_> = (0..4).map(|_| long_running_quota(now)).collect();
     let mut taken = 0.0;
@@ -215,7 +215,7 @@
 
 /// Guards against a level that is reset by restarts. Hosts restart in turn while an account sends
 /// at its limit; each has forgotten the use so far and must not begin with a first level that the
-/// fleet no longer has.
+/// fleet has already used up.
 #[test]
 fn hosts_that_restart_in_turn_take_over_the_level() {
     let mut now = Instant::now();
@@ -235,8 +235,8 @@
     assert!(taken <= 300.0, "{taken}");
 }
 
-/// Guards against two hosts that start together and hold each other back by levels that they have
-/// not opened yet.
+/// Guards against two hosts that start together and hold each other back: the level of a host that
+/// has just started is low because the first level is not yet in it, not because of use.
 #[test]
 fn a_host_that_has_just_started_reports_no_levels() {
     let now = Instant::now();
--- a/crates/jaypin_router/tests/quota_order.rs
+++ b/crates/jaypin_router/tests/quota_order.rs
@@ -23,7 +23,7 @@
         host.set_entry(record(id, ENGINES, 1_000));
     }
     host.set_entry(record("plain-1", PLAIN, 1_000));
-    // By then, its quota is full.
+    // After this wait, the quota is full.
     host.wait(Duration::from_secs(3));
     host.prove();
     host
--- a/crates/jaypin_router/tests/store_eras_fleet.rs
+++ b/crates/jaypin_router/tests/store_eras_fleet.rs
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Returns the id and the process of each backend server that host `n` holds for ready.
+    /// Returns the id and the process of each backend server that host `n` considers ready.
     fn ready_backends(&self, n: usize) -> Vec<(String, u64)> {
         let stated = self.hosts[n].router.entry_snapshot();
         let ready = stated.into_iter().filter_map(|it| match it {
--- a/crates/jaypin_router/tests/views.rs
+++ b/crates/jaypin_router/tests/views.rs
@@ -53,7 +53,7 @@
     }
 }
 
-macro_rules! view_kinds {
+macro_rules! subset_kinds {
     ($($name:ident: $hosts:literal hosts, $backends:literal backends => $kind:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -62,7 +62,7 @@
     )*};
 }
 
-view_kinds! {
+subset_kinds! {
     a_small_fleet_uses_everything: 15 hosts, 12 backends => SubsetKind::All;
     a_host_of_a_large_fleet_uses_a_dozen_engines: 195 hosts, 117 backends => SubsetKind::Subset(12);
     fewer_hosts_use_more_engines_each: 123 hosts, 90 backends => SubsetKind::Subset(15);
--- a/crates/jaypin_router/tests/watching.rs
+++ b/crates/jaypin_router/tests/watching.rs
@@ -46,8 +46,8 @@
     assert!(should_watch(&started_host(0)));
 }
 
-/// Guards against a host that takes itself for the only one because it read the configuration
-/// before the list of hosts.
+/// Guards against a host that watches at once because it knows no other host yet: it has read the
+/// configuration before the list of hosts.
 #[test]
 fn a_host_that_does_not_know_the_fleet_waits() {
     let mut host = TestHost::unconfigured();
@@ -69,12 +69,12 @@
         .iter()
         .filter(|it| it.router.probes_store_first(it.now));
     assert_eq!(first.count(), 2);
-    let mut places: Vec<_> = hosts
+    let mut ranks: Vec<_> = hosts
         .iter()
         .map(|it| it.router.store_probe_rank(it.now))
         .collect();
-    places.sort_unstable();
-    assert_eq!(places, (0..12).collect::<Vec<_>>());
+    ranks.sort_unstable();
+    assert_eq!(ranks, (0..12).collect::<Vec<_>>());
 }
 
 /// Returns the host `own` of a fleet, which has received a report from every other host.
@@ -123,7 +123,7 @@
 }
 
 /// Guards against a change that is applied too late because the store has become silent towards
-/// the two watchers. The others must query it soon enough for a change to be in force two seconds
+/// the two watchers. The others must query it soon enough for a change to be applied two seconds
 /// after it was accepted: the last answer proved the state of 1.2 s before it.
 #[test]
 fn other_hosts_query_a_silent_store_within_a_second_and_a_half() {
@@ -146,7 +146,7 @@
     assert!(should_watch(&host));
 }
 
-/// Returns the entry changes that the host reports within 4 s.
+/// Returns the entry changes that the host reports in the next 4 s.
 fn reported_changes(host: &mut TestHost) -> Vec<String> {
     let mut reported = Vec::new();
     for n in 0..40 {
