--- a/crates/jaypin_router/tests/cells.rs
+++ b/crates/jaypin_router/tests/cells.rs
@@ -19,7 +19,7 @@
     a_small_fleet_is_one_cell: 13 => 1;
     forty_hosts_are_one_cell: 40 => 1;
     forty_one_hosts_are_two_cells: 41 => 2;
-    hundred_and_twenty_six_hosts_are_four_cells: 126 => 4;
+    a_hundred_and_twenty_six_hosts_are_four_cells: 126 => 4;
     the_planned_size_has_sixteen_cells: 370 => 16;
 }
 
