--- a/crates/jaypin_entry/src/host.rs
+++ b/crates/jaypin_entry/src/host.rs
@@ -176,8 +176,7 @@
                 number,
                 backend,
                 address,
-                requester:
-                asked_by,
+                requester: asked_by,
                 repeat,
                 first_event_timeout,
                 stall_timeout,
@@ -187,8 +186,7 @@
                 let order = SendOrder {
                     backend,
                     address,
-                    requester:
-                    asked_by,
+                    requester: asked_by,
                     repeat,
                     first_event_timeout,
                     stall_timeout,
@@ -204,12 +202,12 @@
             } => self.send_directive(number, Directive::Reject(reason, inputs)),
             Effect::Refuse {
                 number,
-                requester:
-                asked_by,
+                requester: asked_by,
                 refusal,
                 inputs,
             } => self.send_directive(number, Directive::Refuse(refusal, asked_by, inputs)),
-            Effect::ForwardFailure(number) => { self.send_directive(number, Directive::ForwardFailure);
+            Effect::ForwardFailure(number) => {
+                self.send_directive(number, Directive::ForwardFailure);
             }
             Effect::WriteRollout(write) => self.queue_rollout_write(write),
             Effect::SendReport { to, report } => self.send_report(&to, &report),
--- a/crates/jaypin_entry/src/peers/wire/mod.rs
+++ b/crates/jaypin_entry/src/peers/wire/mod.rs
@@ -14,8 +14,8 @@
 
 use jaypin_core::{AccountId, FailureDomain, HostId};
 use jaypin_router::{
-    ArrivalCount, BackendLoad, BackendSamples, BackendSignals, CrashCount, Rank, Report, SignalReport,
-    StoreView, WholeReport,
+    ArrivalCount, BackendLoad, BackendSamples, BackendSignals, CrashCount, Rank, Report,
+    SignalReport, StoreView, WholeReport,
 };
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -48,7 +48,8 @@
     /// A number is not finite, or negative where it must not be. It would corrupt every sum
     /// that it is added to.
     #[snafu(display(
-        "a number in a report is not finite, or negative where at least 0 is expected"))]
+        "a number in a report is not finite, or negative where at least 0 is expected"
+    ))]
     Number,
     /// The state of a rollout order is unknown.
     #[snafu(display("expected a rollout state from 0 to 4, found {state}"))]
@@ -177,7 +178,9 @@
             sender,
             wire_view,
             whole.low_levels.iter().map(wire_units).collect(),
-            crash_counts.map(|it| (it.fingerprint, it.crash_count)).collect(),
+            crash_counts
+                .map(|it| (it.fingerprint, it.crash_count))
+                .collect(),
             callers.map(|it| it.iter().map(ToString::to_string).collect()),
             whole.arrivals.iter().map(wire_arrivals).collect(),
             whole.rollouts.iter().map(wire_rollout).collect(),
@@ -227,7 +230,8 @@
     type Error = WireError;
 
     fn try_from(wire: WireWhole) -> Result<Self, WireError> {
-        let WireWhole(sender, view, low_levels, crash_counts, cell_callers, arrivals, rollouts) = wire;
+        let WireWhole(sender, view, low_levels, crash_counts, cell_callers, arrivals, rollouts) =
+            wire;
         let (host, address, callers, failure_domain, cell) = sender;
         let (version, proved_at, sent_at, may_watch, is_watching, digest, era) = view;
         // A negative level is a debt, and valid.
@@ -288,8 +292,11 @@
 fn wire_arrivals(arrivals: &ArrivalCount) -> WireArrivals {
     let rank = arrivals.rank;
     (
-        arrivals.service, rank.account, rank.route,
-        arrivals.requests,)
+        arrivals.service,
+        rank.account,
+        rank.route,
+        arrivals.requests,
+    )
 }
 
 fn read_arrivals((service, account, route, requests): WireArrivals) -> ArrivalCount {
--- a/crates/jaypin_entry/tests/report_bytes.rs
+++ b/crates/jaypin_entry/tests/report_bytes.rs
@@ -9,9 +9,8 @@
 };
 use jaypin_router::{
     ArrivalCount, BackendLoad, BackendRecord, BackendSamples, BackendSignals, BackendStatus,
-    CrashCount,
-    EntryChange, OutcomeCounts, Rank, Report, RolloutOrder, RolloutReport, RolloutState,
-    RouteOutcomes, SignalReport, StorePoint, StoreView, VersionOutcomes, WholeReport,
+    CrashCount, EntryChange, OutcomeCounts, Rank, Report, RolloutOrder, RolloutReport,
+    RolloutState, RouteOutcomes, SignalReport, StorePoint, StoreView, VersionOutcomes, WholeReport,
 };
 use rand::RngExt;
 use rand::SeedableRng;
--- a/crates/jaypin_router/src/rollout/slow_answer.rs
+++ b/crates/jaypin_router/src/rollout/slow_answer.rs
@@ -27,9 +27,13 @@
 impl SlowAnswerDetector {
     /// Returns whether a response is slow, by the time to its first event and the number of
     /// prompt tokens. One of the stable version (`is_baseline`) adjusts the limit.
-    pub fn classify(&mut self, route: RouteKey,
-        first_event_time: Duration, tokens: u32,
-        is_baseline: bool,) -> bool {
+    pub fn classify(
+        &mut self,
+        route: RouteKey,
+        first_event_time: Duration,
+        tokens: u32,
+        is_baseline: bool,
+    ) -> bool {
         let expected =
             PrefillRate::default().seconds_for(f64::from(tokens)) + CALL_OVERHEAD.as_secs_f64();
         let without_connecting = first_event_time.saturating_sub(CONNECT_ALLOWANCE);
--- a/crates/jaypin_router/src/router/arrival.rs
+++ b/crates/jaypin_router/src/router/arrival.rs
@@ -144,9 +144,7 @@
                 number,
                 requester,
                 refusal,
-                DecisionInputs::Crashes {
-                    crash_count
-                },
+                DecisionInputs::Crashes { crash_count },
             ));
         }
         let key = service_key(&admitted.service);
@@ -174,7 +172,9 @@
         } else {
             INITIAL_PLAIN_HOLD_TIME
         };
-        self.hold_times.entry(service.clone()).or_insert(initial_hold_time);
+        self.hold_times
+            .entry(service.clone())
+            .or_insert(initial_hold_time);
         self.budget(&service, now).record_request(now);
         self.place(now, request, fx);
     }
--- a/crates/jaypin_router/src/router/attempt.rs
+++ b/crates/jaypin_router/src/router/attempt.rs
@@ -43,7 +43,12 @@
         }
     }
 
-    pub(super) fn handle_stream_events(&mut self, number: RequestNumber, events: u32, time: Duration,) {
+    pub(super) fn handle_stream_events(
+        &mut self,
+        number: RequestNumber,
+        events: u32,
+        time: Duration,
+    ) {
         let Some(request) = self.sent.get(&number) else {
             return;
         };
--- a/crates/jaypin_router/src/router/backend_signals.rs
+++ b/crates/jaypin_router/src/router/backend_signals.rs
@@ -150,7 +150,12 @@
 }
 
 /// Applies the signals of one backend server. Returns whether it has just begun to leave.
-fn apply(signals: &SignalTable, backend: &mut Backend, sharers: &LimitSharers, now: Instant,) -> bool {
+fn apply(
+    signals: &SignalTable,
+    backend: &mut Backend,
+    sharers: &LimitSharers,
+    now: Instant,
+) -> bool {
     let stated = signals.of(&backend.record);
     backend.set_backoff_until(signals.backoff_until(&backend.record));
     match stated.rate_limit {
--- a/crates/jaypin_router/src/router/placing.rs
+++ b/crates/jaypin_router/src/router/placing.rs
@@ -110,23 +110,29 @@
         };
         let subset = self.subset_backends(&admitted.service);
         let choice = choose_backend(
-            subset, &demand, &admitted.attempted, serves, &mut random, now,)
+            subset,
+            &demand,
+            &admitted.attempted,
+            serves,
+            &mut random,
+            now,
+        )
         // If none of its own backend servers is left, the host uses those of the other
         // hosts.
-            .or_else(|| {
-                let all = self.backends.values();
-                let of_service = all.filter(|it| it.record.service == admitted.service);
-                let of_service =
-                    of_service.filter(|it| self.role_of(&it.record) == VersionRole::Stable);
-                choose_backend(
-                    of_service,
-                    &demand,
-                    &admitted.attempted,
-                    serves,
-                    &mut random,
-                    now,
-                )
-            });
+        .or_else(|| {
+            let all = self.backends.values();
+            let of_service = all.filter(|it| it.record.service == admitted.service);
+            let of_service =
+                of_service.filter(|it| self.role_of(&it.record) == VersionRole::Stable);
+            choose_backend(
+                of_service,
+                &demand,
+                &admitted.attempted,
+                serves,
+                &mut random,
+                now,
+            )
+        });
         self.rng = rng;
         choice
     }
@@ -154,7 +160,8 @@
             return None;
         }
         let of_cell = if is_long(admitted) {
-            self.arrival_rates.rate_at_or_above(service, admitted.rank, now)
+            self.arrival_rates
+                .rate_at_or_above(service, admitted.rank, now)
         } else {
             self.arrival_rates.rate_above(service, admitted.rank, now)
         };
@@ -163,10 +170,14 @@
             return None;
         }
         let free = self.free_slots(&admitted.service, now);
-        let short_interval = self.shortest_latency_target(admitted).mul_f64(SHORT_INTERVAL_FRACTION);
-        (f64::from(free) <= reserved).then_some(SlotShortage { free,
+        let short_interval = self
+            .shortest_latency_target(admitted)
+            .mul_f64(SHORT_INTERVAL_FRACTION);
+        (f64::from(free) <= reserved).then_some(SlotShortage {
+            free,
             reserved,
-            short_interval, })
+            short_interval,
+        })
     }
 
     /// Returns the shortest latency target of all routes to the service of a request.
@@ -205,7 +216,12 @@
         })
     }
 
-    fn placement_inputs(&self, choice: &Choice, limit: Duration, slot_limit: Duration,) -> DecisionInputs {
+    fn placement_inputs(
+        &self,
+        choice: &Choice,
+        limit: Duration,
+        slot_limit: Duration,
+    ) -> DecisionInputs {
         let backend = self.backends.get(&choice.backend);
         DecisionInputs::Place {
             first_event: choice.first_event,
@@ -321,7 +337,11 @@
 }
 
 /// Returns the time that the first event may take on a backend server.
-pub(super) fn first_event_limit_on(backend: &Backend, admitted: &Admitted, now: Instant,) -> Duration {
+pub(super) fn first_event_limit_on(
+    backend: &Backend,
+    admitted: &Admitted,
+    now: Instant,
+) -> Duration {
     let tokens = f64::from(admitted.prompt_tokens);
     let own = Duration::from_secs_f64(backend.prefill_rate.seconds_for(tokens));
     first_event_limit(admitted, own, now)
--- a/crates/jaypin_router/src/router/reporting.rs
+++ b/crates/jaypin_router/src/router/reporting.rs
@@ -9,7 +9,9 @@
 
 use super::{Effect, Router};
 use crate::fleet::PEER_EXPIRY;
-use crate::{BootTime, CrashCount, Report, SignalReport, StoreView, WholeReport, cell_of, host_key,};
+use crate::{
+    BootTime, CrashCount, Report, SignalReport, StoreView, WholeReport, cell_of, host_key,
+};
 
 /// Pause between two reports while an urgent change waits to be reported.
 const URGENT_PAUSE: Duration = Duration::from_millis(6);
@@ -49,7 +51,6 @@
 }
 
 /// A host that may be in the fleet.
-
 #[derive(Debug, Default)]
 struct KnownHost {
     host: Option<HostId>,
@@ -62,12 +63,16 @@
 
 impl KnownHost {
     fn is_recent(&self, now: Instant) -> bool {
-        let age = self.last_live_at.map(|at| now.saturating_duration_since(at));
+        let age = self
+            .last_live_at
+            .map(|at| now.saturating_duration_since(at));
         age.is_none_or(|age| age < PEER_EXPIRY)
     }
 
     fn pause(&self, now: Instant) -> Duration {
-        let silence = self.last_live_at.map(|at| now.saturating_duration_since(at));
+        let silence = self
+            .last_live_at
+            .map(|at| now.saturating_duration_since(at));
         if silence.is_some_and(|silence| silence >= LONG_SILENCE) {
             LONG_SILENT_PAUSE
         } else {
@@ -91,7 +96,9 @@
     /// Returns whether the store lists a host with this report address.
     #[must_use]
     pub fn is_registered(&self, address: &SocketAddr) -> bool {
-        self.known_hosts.get(address).is_some_and(|it| it.is_registered)
+        self.known_hosts
+            .get(address)
+            .is_some_and(|it| it.is_registered)
     }
 
     /// Returns whether the store lists a host with this IP address.
@@ -322,8 +329,13 @@
 
     /// Sends a summary of this cell to one random host of each other cell, if that is due.
     fn report_to_other_cells(&mut self, now: Instant, boot_time: BootTime, fx: &mut Vec<Effect>) {
-        if self.cells == 1 || !is_due(self.report_state.last_to_other_cells,
-                OTHER_CELLS_PAUSE, now,) {
+        if self.cells == 1
+            || !is_due(
+                self.report_state.last_to_other_cells,
+                OTHER_CELLS_PAUSE,
+                now,
+            )
+        {
             return;
         }
         self.report_state.last_to_other_cells = Some(now);
--- a/crates/jaypin_router/src/router/rollouts.rs
+++ b/crates/jaypin_router/src/router/rollouts.rs
@@ -6,15 +6,14 @@
 use jaypin_core::{BackendId, ServiceId, score};
 use rand::RngExt;
 
-use super::placing::{first_event_limit_on,is_in_time};
+use super::placing::{first_event_limit_on, is_in_time};
 use super::{Effect, Router};
 use crate::limits::slot_wait_limit;
 use crate::request::{Admitted, Request, Sent};
 use crate::{
     AttemptOutcome, Backend, BackendRecord, BackendSubsets, BootTime, Choice, ExposureBudget,
     Outcome, Repeat, Report, RolloutOrder, RolloutReport, SoftwareVersion, VersionRole,
-    choose_backend,
-    route_key,
+    choose_backend, route_key,
 };
 
 /// Time after its end for which an order is still reported to peers.
@@ -84,8 +83,8 @@
     pub(super) fn rollouts_to_report(&self, now: Instant, is_of_cell: bool) -> Vec<RolloutReport> {
         let age = |at: Instant| now.saturating_duration_since(at);
         let all = self.rollouts.values();
-        let reported =
-            all.filter(|it| it.is_end_lost() || it.ended.is_none_or(|at| age(at) < REPORT_AFTER_END));
+        let reported = all
+            .filter(|it| it.is_end_lost() || it.ended.is_none_or(|at| age(at) < REPORT_AFTER_END));
         let reports = reported.map(|rollout| RolloutReport {
             order: rollout.order.clone(),
             age: age(rollout.started),
@@ -133,7 +132,8 @@
             .filter(|(_, peer)| peer.may_watch);
         let preceding = live.filter(|(host, _)| score(WRITE_RANK_KEY, host) > own);
         let preceding = u32::try_from(preceding.count()).unwrap_or(u32::MAX);
-        self.cell.saturating_add(preceding.saturating_mul(self.cells))
+        self.cell
+            .saturating_add(preceding.saturating_mul(self.cells))
     }
 
     /// Returns which requests a backend server may get, by its version.
@@ -182,7 +182,8 @@
         now: Instant,
     ) -> Option<Choice> {
         let rollout = self.rollouts.get(&admitted.service)?;
-        let may_use_canary = rollout.is_under_test() && admitted.attempted.is_empty() && self.has_recent_orders();
+        let may_use_canary =
+            rollout.is_under_test() && admitted.attempted.is_empty() && self.has_recent_orders();
         if !may_use_canary {
             return None;
         }
@@ -198,8 +199,11 @@
         let demand = self.demand(admitted, now);
         let slot_limit = slot_wait_limit(admitted);
         let serves = |backend: &Backend, choice: &Choice| {
-            is_in_time(choice,
-                first_event_limit_on(backend, admitted, now), slot_limit,)
+            is_in_time(
+                choice,
+                first_event_limit_on(backend, admitted, now),
+                slot_limit,
+            )
         };
         let subset = self.canary_subsets.own_subset(&admitted.service).iter();
         let subset = subset.filter_map(|id| self.backends.get(id));
@@ -252,7 +256,10 @@
                 };
                 let tokens = request.admitted.prompt_tokens;
                 let is_baseline = role == VersionRole::Stable;
-                if self.slow_answers.classify(route, first_event_time, tokens, is_baseline) {
+                if self
+                    .slow_answers
+                    .classify(route, first_event_time, tokens, is_baseline)
+                {
                     Outcome::Slow
                 } else {
                     Outcome::Good
--- a/crates/jaypin_router/src/router/updates.rs
+++ b/crates/jaypin_router/src/router/updates.rs
@@ -123,7 +123,9 @@
         self.apply_reported_loads(&report, now);
         let is_whole = report.whole.is_some();
         if let Some(whole) = &report.whole
-            && self.report_state.add_host(whole.host.clone(), whole.address)
+            && self
+                .report_state
+                .add_host(whole.host.clone(), whole.address)
         {
             self.stable_subsets.invalidate();
         }
@@ -232,7 +234,8 @@
         } else {
             INITIAL_FLEET_FRACTION
         };
-        self.quota.set_live_fraction(fraction / f64::from(self.cells));
+        self.quota
+            .set_live_fraction(fraction / f64::from(self.cells));
     }
 
     /// Updates the number of cells and the cell of this host.
@@ -251,7 +254,8 @@
         self.update_stable_versions();
         let stable = self.ready_in_role(VersionRole::Stable);
         let canary = self.ready_in_role(VersionRole::Canary);
-        self.stable_subsets.recompute(&self.cfg.host, &others, stable);
+        self.stable_subsets
+            .recompute(&self.cfg.host, &others, stable);
         self.canary_subsets
             .recompute(&self.cfg.host, &others, canary);
     }
@@ -293,7 +297,6 @@
 
     /// Quarantines request contents that crashed too many backend servers, and ends old
     /// quarantines.
-
     pub(super) fn update_quarantines(&mut self, now: Instant) {
         let quarantined = self.quarantine.judge(now, CRASH_LIMIT);
         if !quarantined.is_empty() {
--- a/crates/jaypin_router/tests/common/mod.rs
+++ b/crates/jaypin_router/tests/common/mod.rs
@@ -334,9 +334,7 @@
     }
 
     /// Applies an arrival that `change` has modified and returns the decision about it.
-    pub
-
-    fn arrive_with(&mut self, change: impl FnOnce(&mut Arrival)) -> (RequestNumber, Decision) {
+    pub fn arrive_with(&mut self, change: impl FnOnce(&mut Arrival)) -> (RequestNumber, Decision) {
         let number = self.counter + 1;
         let fx = self.apply_arrival(change);
         (number, decision_for(&fx, number))
@@ -402,8 +400,10 @@
     });
     let first = decisions.next();
     assert_eq!(
-        decisions.next(), None,
-        "more than one decision about a request");
+        decisions.next(),
+        None,
+        "more than one decision about a request"
+    );
     first.unwrap_or(Decision::Queued)
 }
 
@@ -428,9 +428,7 @@
 /// Returns the inputs of the first refusal among `fx`, as a log line prints them.
 pub fn refusal_inputs(fx: &[Effect]) -> String {
     let mut inputs = fx.iter().filter_map(|effect| match effect {
-        Effect::Refuse {
-            inputs, ..
-        } => Some(inputs.to_string()),
+        Effect::Refuse { inputs, .. } => Some(inputs.to_string()),
         _ => None,
     });
     inputs.next().expect("a refusal among the effects")
--- a/crates/jaypin_router/tests/order.rs
+++ b/crates/jaypin_router/tests/order.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use common::{Decision,ENGINES, PLAIN, TestHost, record};
+use common::{Decision, ENGINES, PLAIN, TestHost, record};
 use jaypin_router::{
     ArrivalCount, ArrivalRates, AttemptOutcome, BackendLoad, Effect, MinimumShares, Rank, Report,
     backend_key, reserved_slots, service_key,
@@ -209,7 +209,9 @@
         host.receive_report(report);
     }
     let labels = (0..20).map(|_| host.arrive("/label/1", (60, 20)).1);
-    let sent = labels.filter(|decision| matches!(decision, Decision::Sent(_))).count();
+    let sent = labels
+        .filter(|decision| matches!(decision, Decision::Sent(_)))
+        .count();
     assert!((1..=3).contains(&sent), "{sent}");
     let (_, decision) = host.arrive("/urgent/1", (60, 20));
     assert!(matches!(decision, Decision::Sent(_)), "{decision:?}");
@@ -300,7 +302,10 @@
             }
         }
         // Each request holds its slot for about a second.
-        while running.front().is_some_and(|it| host.now >= it.0 + HOLD_TIME) {
+        while running
+            .front()
+            .is_some_and(|it| host.now >= it.0 + HOLD_TIME)
+        {
             let ended = running.pop_front().expect("a running request");
             host.ended(ended.1, AttemptOutcome::Complete);
         }
@@ -325,7 +330,8 @@
     });
     assert!(
         until_behind.is_some_and(|count| count < 20),
-        "{until_behind:?}");
+        "{until_behind:?}"
+    );
     for _ in 0..1_000 {
         shares.record_arrival(service, DEFERRABLE);
     }
