--- a/crates/jaypin/src/frontend/read_request.rs
+++ b/crates/jaypin/src/frontend/read_request.rs
@@ -229,7 +229,7 @@
         kind: ServiceKind::Engine,
         stream: call.stream,
         prompt_tokens: info.prompt_tokens,
-        whole: info.whole,
+        whole: info.response_due_in,
         store_answer: false,
     };
     Ok((info, outbound))
@@ -296,7 +296,7 @@
         kind: ServiceKind::Plain,
         stream: false,
         prompt_tokens: info.prompt_tokens,
-        whole: info.whole,
+        whole: info.response_due_in,
         store_answer: route.repeat == Repeat::Never,
     };
     Ok((info, outbound))
@@ -320,8 +320,8 @@
         fingerprint: 0,
         repeat: Repeat::Idempotent,
         key: None,
-        first_token: tier.first_token,
-        whole: tier.whole,
+        first_token_due_in: tier.first_token,
+        response_due_in: tier.whole,
         rule_lines: vec![caller.rule_line, service.origin.line, tier.origin.line],
     }
 }
--- a/crates/jaypin_core/examples/capacity.rs
+++ b/crates/jaypin_core/examples/capacity.rs
@@ -200,8 +200,8 @@
         fingerprint: u64::from(index),
         repeat: Repeat::Idempotent,
         key: None,
-        first_token: Duration::from_millis(1_500),
-        whole: Duration::from_mins(1),
+        first_token_due_in: Duration::from_millis(1_500),
+        response_due_in: Duration::from_mins(1),
         rule_lines: vec![1, 2, 3],
     }
 }
--- a/crates/jaypin_core/src/backend_model.rs
+++ b/crates/jaypin_core/src/backend_model.rs
@@ -51,7 +51,7 @@
     /// Whether it takes work.
     pub presence: Presence,
     /// Learned time between tokens.
-    pub pace: StreamPace,
+    pub token_gaps: StreamPace,
     careful: u32,
     foreign: u32,
     prefill_tokens: f64,
@@ -81,7 +81,7 @@
             slots: slots.max(1),
             running: 0,
             presence,
-            pace: StreamPace::default(),
+            token_gaps: StreamPace::default(),
             careful: CAREFUL_LIMIT,
             foreign: 0,
             prefill_tokens: FIRST_GUESS_TOKENS,
@@ -102,7 +102,7 @@
     /// Requests it may run at once while every stream keeps a gap, in seconds.
     #[must_use]
     pub fn limit(&self, gap: f64) -> u32 {
-        self.slots.min(self.careful).min(self.pace.knee(gap))
+        self.slots.min(self.careful).min(self.token_gaps.knee(gap))
     }
 
     /// Whether it takes new work at all.
@@ -196,7 +196,7 @@
     pub fn start(&mut self, sequence: u64, tokens: u32, now: Instant) {
         self.last_start = Some(now);
         self.running += 1;
-        self.pace.set_running(self.running, now);
+        self.token_gaps.set_running(self.running, now);
         self.peak = self.peak.max(self.running);
         if tokens > 0 {
             self.pending.insert(sequence, Pending { tokens, at: now });
@@ -206,14 +206,14 @@
     /// Counts a request that was running before this scheduler's time.
     pub fn adopt(&mut self, now: Instant) {
         self.running += 1;
-        self.pace.set_running(self.running, now);
+        self.token_gaps.set_running(self.running, now);
         self.peak = self.peak.max(self.running);
         self.careful = self.careful.max(self.running + CAREFUL_STEP);
     }
 
     /// Learns from a first token.
     pub fn first_token(&mut self, sequence: u64, now: Instant) {
-        if self.careful < UNPROVEN_LIMIT || self.pace.is_proven() {
+        if self.careful < UNPROVEN_LIMIT || self.token_gaps.is_proven() {
             self.careful = self.careful.saturating_add(CAREFUL_STEP).min(self.slots);
         }
         self.losses = 0;
@@ -234,7 +234,7 @@
     /// Counts the end of a request.
     pub fn end(&mut self, sequence: u64, now: Instant) {
         self.running = self.running.saturating_sub(1);
-        self.pace.set_running(self.running, now);
+        self.token_gaps.set_running(self.running, now);
         self.pending.remove(&sequence);
     }
 
--- a/crates/jaypin_core/src/baseline.rs
+++ b/crates/jaypin_core/src/baseline.rs
@@ -15,7 +15,7 @@
 
 impl Baseline {
     /// Takes a lagging load report.
-    pub fn report(&mut self, report: &LoadReport) {
+    pub fn apply_load_report(&mut self, report: &LoadReport) {
         self.load
             .insert(report.backend.clone(), report.running + report.waiting);
     }
--- a/crates/jaypin_core/src/lib.rs
+++ b/crates/jaypin_core/src/lib.rs
@@ -62,6 +62,6 @@
 pub use request::RequestInfo;
 pub use rule_index::{RuleIndex, TierTargets};
 pub use scheduler::{BackendReport, BackendState, ShardReport};
-pub use scheduler::{Letter, Scheduler};
+pub use scheduler::{OutgoingMessage, Scheduler};
 pub use shard::{Shard, ShardMap};
 pub use stream_pace::StreamPace;
--- a/crates/jaypin_core/src/owner.rs
+++ b/crates/jaypin_core/src/owner.rs
@@ -7,14 +7,14 @@
 
 /// The owner's table.
 #[derive(Debug, Default)]
-pub struct Owner {
+pub struct OwnedRequests {
     /// Requests that wait for a grant.
     pub waiting: BTreeMap<RequestId, Request<Waiting>>,
     /// Requests that were handed to a backend server.
     pub dispatched: BTreeMap<RequestId, Request<Dispatched>>,
 }
 
-impl Owner {
+impl OwnedRequests {
     /// Whether nothing is left to do.
     #[must_use]
     pub fn is_idle(&self) -> bool {
--- a/crates/jaypin_core/src/quarantine.rs
+++ b/crates/jaypin_core/src/quarantine.rs
@@ -59,14 +59,14 @@
 
     /// Strikes against a fingerprint.
     #[must_use]
-    pub fn strikes(&self, fingerprint: u64) -> u32 {
+    pub fn crash_count(&self, fingerprint: u64) -> u32 {
         let suspect = self.suspects.get(&fingerprint);
         suspect.map_or(0, |suspect| suspect.strikes)
     }
 
     /// Time left of a fingerprint's hold, when it is held.
     #[must_use]
-    pub fn held_for(
+    pub fn remaining_quarantine(
         &self,
         now: Instant,
         fingerprint: u64,
@@ -79,8 +79,8 @@
     }
 
     /// Takes a strike count that was heard of; says whether it was news.
-    pub fn heard(&mut self, now: Instant, fingerprint: u64, strikes: u32) -> bool {
-        if strikes <= self.strikes(fingerprint) {
+    pub fn record_crash_count(&mut self, now: Instant, fingerprint: u64, strikes: u32) -> bool {
+        if strikes <= self.crash_count(fingerprint) {
             return false;
         }
         if self.suspects.len() >= MAX_SUSPECTS {
@@ -98,7 +98,7 @@
     }
 
     /// A call was lost because its backend server died.
-    pub fn died(&mut self, now: Instant, backend: &BackendId, lost: Lost) {
+    pub fn record_lost_call(&mut self, now: Instant, backend: &BackendId, lost: Lost) {
         if self.deaths.len() >= MAX_DEATHS && !self.deaths.contains_key(backend) {
             return;
         }
@@ -118,7 +118,7 @@
     /// Who had a first token was served before and is not suspected. If several had
     /// none, any may be the cause: each is suspected, and no such death alone makes a
     /// fingerprint be refused. A death under a single one is its strike.
-    pub fn judge(&mut self, now: Instant, limit: u32) -> Vec<(u64, u32)> {
+    pub fn evaluate_crashes(&mut self, now: Instant, limit: u32) -> Vec<(u64, u32)> {
         let mut struck = Vec::new();
         let due =
             |_: &BackendId, death: &mut Death| now.duration_since(death.since) >= DEATH_WINDOW;
@@ -134,14 +134,14 @@
             new.dedup();
             let is_clear = new.len() == 1;
             for fingerprint in new {
-                let before = self.strikes(fingerprint);
+                let before = self.crash_count(fingerprint);
                 let most = if is_clear {
                     u32::MAX
                 } else {
                     limit.saturating_sub(1)
                 };
                 let strikes = (before + 1).min(most).max(before);
-                if self.heard(now, fingerprint, strikes) {
+                if self.record_crash_count(now, fingerprint, strikes) {
                     struck.push((fingerprint, strikes));
                 }
             }
@@ -151,7 +151,7 @@
 
     /// The fingerprints that were struck last, with their strikes, for peers.
     #[must_use]
-    pub fn newest(&self, most: usize) -> Vec<(u64, u32)> {
+    pub fn most_recent(&self, most: usize) -> Vec<(u64, u32)> {
         let mut all: Vec<_> = self.suspects.iter().collect();
         all.sort_unstable_by_key(|(_, suspect)| std::cmp::Reverse(suspect.struck_at));
         let newest = all.into_iter().take(most);
--- a/crates/jaypin_core/src/reducer/arrival.rs
+++ b/crates/jaypin_core/src/reducer/arrival.rs
@@ -78,7 +78,7 @@
             backend: record.id.clone(),
             grant: None,
         };
-        let request = Request::<Granted>::chosen(info, now, slot);
+        let request = Request::<Granted>::placed_by_owner(info, now, slot);
         self.dispatch(now, request, Vec::new(), fx);
     }
 
@@ -91,9 +91,9 @@
             shard,
             leader,
             attempt: 1,
-            asked_at: now,
+            requested_at: now,
             queued: false,
-            unreached: false,
+            connection_refused: false,
             refused_by: Vec::new(),
         };
         let request = Request {
@@ -129,7 +129,7 @@
         // All hosts walk the same order, so a prefix that outgrows one shard is held by
         // few others.
         let least = shards.clone().map(wait).min()?;
-        let worth = WORTH_OF_AFFINITY.max(info.first_token / AFFINITY_PART);
+        let worth = WORTH_OF_AFFINITY.max(info.first_token_due_in / AFFINITY_PART);
         let shard = shards.find(|shard| wait(shard) <= least + worth)?;
         let leader = self.leader(shard)?.clone();
         Some((shard.clone(), leader))
@@ -155,7 +155,7 @@
         refused_by.push(request.state.shard.clone());
         let shards = self.membership.shards().of_service(&request.info.service);
         let others = shards.filter(|shard| !request.state.refused_by.contains(shard));
-        let is_late = now.duration_since(request.arrived_at) >= request.info.first_token;
+        let is_late = now.duration_since(request.arrived_at) >= request.info.first_token_due_in;
         if is_late || others.count() == 0 {
             return false;
         }
@@ -184,9 +184,9 @@
             shard,
             leader,
             attempt: old.attempt + 1,
-            asked_at: now,
+            requested_at: now,
             queued: false,
-            unreached: old.unreached,
+            connection_refused: old.connection_refused,
             refused_by: old.refused_by,
         };
         self.send_ask(now, &request, fx);
@@ -209,11 +209,11 @@
             account: info.account.clone(),
             prompt_tokens: info.prompt_tokens,
             max_tokens: info.max_tokens,
-            first_token_in: info.first_token.saturating_sub(spent),
-            whole_in: info.whole.saturating_sub(spent),
+            first_token_in: info.first_token_due_in.saturating_sub(spent),
+            whole_in: info.response_due_in.saturating_sub(spent),
             prefixes: info.prefixes.clone(),
         };
-        let step = Step::Asked {
+        let step = Step::SlotRequested {
             shard: state.shard.clone(),
             leader: state.leader.clone(),
             attempt: state.attempt,
--- a/crates/jaypin_core/src/reducer/calls.rs
+++ b/crates/jaypin_core/src/reducer/calls.rs
@@ -78,7 +78,7 @@
             return;
         };
         request.state.first_token_at = Some(now);
-        let after = now.duration_since(request.state.at);
+        let after = now.duration_since(request.state.dispatched_at);
         record(
             &request.info,
             now.duration_since(request.arrived_at),
@@ -104,7 +104,7 @@
         // learns that the backend server is gone; the first token's deadline ends it.
         let overdue_at = now + REASK_PAUSE;
         let ask_at = overdue_at.checked_sub(self.cfg.ask_timeout).unwrap_or(now);
-        match request.take_back(ask_at) {
+        match request.requeue(ask_at) {
             Ok(request) => {
                 record(
                     &request.info,
@@ -140,7 +140,7 @@
         record(&request.info, elapsed(&request, now), step, fx);
         let progress = SlotProgress::Finished {
             tokens,
-            after: now.duration_since(request.state.at),
+            after: now.duration_since(request.state.dispatched_at),
             lost: matches!(outcome, CallOutcome::Lost | CallOutcome::Died),
         };
         if let Some((leader, message)) = slot_message(&request, progress) {
--- a/crates/jaypin_core/src/reducer/gossip.rs
+++ b/crates/jaypin_core/src/reducer/gossip.rs
@@ -279,10 +279,10 @@
         let was_accused = before.is_some_and(|before| before.is_accused());
         for scheduler in self.schedulers.values_mut() {
             if member.is_accused() || restarted {
-                scheduler.forget_owner(host, now);
+                scheduler.mark_owner_lost(host, now);
             }
             if !member.is_accused() && (was_accused || restarted) {
-                scheduler.regain_owner(host, now);
+                scheduler.mark_owner_recovered(host, now);
             }
         }
         if member.status == MemberStatus::Suspect {
--- a/crates/jaypin_core/src/reducer/keys.rs
+++ b/crates/jaypin_core/src/reducer/keys.rs
@@ -55,7 +55,7 @@
         };
         let state = Claiming {
             claim,
-            asked_at: now,
+            requested_at: now,
         };
         let request = Request {
             info: info.clone(),
@@ -114,7 +114,7 @@
             ClaimVerdict::Granted => {
                 let (mut info, claim) = (request.info, request.state.claim);
                 self.claims.held.insert(id.clone(), claim);
-                info.spend(after);
+                info.subtract_elapsed(after);
                 return self.place(now, info, fx);
             }
             ClaimVerdict::Done(Some(answer)) => {
@@ -209,8 +209,8 @@
                 self.refuse(&request.info, after, refusal, fx);
                 continue;
             }
-            if now.duration_since(request.state.asked_at) >= CLAIM_RESEND {
-                request.state.asked_at = now;
+            if now.duration_since(request.state.requested_at) >= CLAIM_RESEND {
+                request.state.requested_at = now;
                 self.send_claim(&request, fx);
             }
             self.claims.claiming.insert(id, request);
--- a/crates/jaypin_core/src/reducer/knowledge.rs
+++ b/crates/jaypin_core/src/reducer/knowledge.rs
@@ -35,7 +35,7 @@
     }
 
     pub(super) fn load(&mut self, now: Instant, report: &LoadReport, fx: &mut Vec<Effect>) {
-        self.baseline.report(report);
+        self.baseline.apply_load_report(report);
         if self.membership.report(&report.backend, report.leaving) {
             self.view_changed(now, fx);
         }
@@ -46,7 +46,7 @@
         }
         let shard = self.membership.shards().shard_of(&report.backend);
         if let Some(scheduler) = shard.and_then(|shard| self.schedulers.get_mut(shard)) {
-            scheduler.report(report, now);
+            scheduler.apply_load_report(report, now);
         }
         self.backend_reported(now, &report.backend, fx);
     }
--- a/crates/jaypin_core/src/reducer/limits.rs
+++ b/crates/jaypin_core/src/reducer/limits.rs
@@ -19,7 +19,7 @@
         self.limit_keeper.forget_idle(now);
         let mut told = Vec::new();
         for (shard, scheduler) in &mut self.schedulers {
-            for seen in scheduler.take_seen(now) {
+            for seen in scheduler.take_usage(now) {
                 told.push((shard.clone(), seen));
             }
         }
--- a/crates/jaypin_core/src/reducer/messages.rs
+++ b/crates/jaypin_core/src/reducer/messages.rs
@@ -58,7 +58,7 @@
                 allowance,
             } => {
                 if let Some(scheduler) = self.schedulers.get_mut(&shard) {
-                    scheduler.allow(&account, allowance);
+                    scheduler.set_allowance(&account, allowance);
                 }
             }
             Message::NotLeader { id, attempt } => self.not_leader(&id, attempt),
@@ -75,7 +75,7 @@
             } => {
                 let mut out = Vec::new();
                 if let Some(scheduler) = self.schedulers.get_mut(&shard) {
-                    scheduler.progress(&id, number, progress, now, &mut out);
+                    scheduler.apply_progress(&id, number, progress, now, &mut out);
                 }
                 self.send_all(out, fx);
             }
@@ -90,7 +90,9 @@
             Message::Members { entries, whole } => {
                 self.members(now, from, entries, &whole, fx);
             }
-            Message::Died { backend, lost } => self.quarantine.died(now, &backend, lost),
+            Message::Died { backend, lost } => {
+                self.quarantine.record_lost_call(now, &backend, lost)
+            }
             Message::Strike {
                 fingerprint,
                 strikes,
@@ -112,7 +114,7 @@
     pub(super) fn asked(&mut self, now: Instant, from: &HostId, ask: Ask, fx: &mut Vec<Effect>) {
         let mut out = Vec::new();
         if let Some(scheduler) = self.schedulers.get_mut(&ask.shard) {
-            scheduler.ask(from, ask, now, &mut out);
+            scheduler.submit(from, ask, now, &mut out);
         } else {
             let answer = Message::NotLeader {
                 id: ask.id,
@@ -129,7 +131,8 @@
             && request.state.attempt == attempt
         {
             let tier = request.info.tier;
-            self.shard_hints.note(&request.state.shard, tier, wait, now);
+            self.shard_hints
+                .record_wait(&request.state.shard, tier, wait, now);
         }
     }
 
@@ -208,7 +211,7 @@
             return self.send(from, back, fx);
         };
         self.shard_hints
-            .note(&grant.shard, request.info.tier, grant.expected_wait, now);
+            .record_wait(&grant.shard, request.info.tier, grant.expected_wait, now);
         let slot = Slot {
             backend: grant.backend,
             grant: Some((grant.shard, from.clone(), grant.number)),
--- a/crates/jaypin_core/src/reducer/mod.rs
+++ b/crates/jaypin_core/src/reducer/mod.rs
@@ -23,10 +23,10 @@
 use crate::claims::Claims;
 use crate::limit_keeper::LimitKeeper;
 use crate::membership::Term;
-use crate::owner::Owner;
+use crate::owner::OwnedRequests;
 use crate::request::{Dispatched, Request};
 use crate::rule_index::RuleIndex;
-use crate::scheduler::{Letter, Scheduler};
+use crate::scheduler::{OutgoingMessage, Scheduler};
 use crate::shard_hints::ShardHints;
 use gossip::Gossip;
 use succession::Rebuilds;
@@ -61,7 +61,7 @@
     limit_keeper: LimitKeeper,
     next_usage: Option<Instant>,
     membership: Membership,
-    owner: Owner,
+    owner: OwnedRequests,
     schedulers: BTreeMap<Shard, Scheduler>,
     baseline: Baseline,
     keys: KeyTable,
@@ -121,7 +121,7 @@
             limit_keeper: LimitKeeper::default(),
             next_usage: None,
             membership: Membership::default(),
-            owner: Owner::default(),
+            owner: OwnedRequests::default(),
             schedulers: BTreeMap::new(),
             baseline: Baseline::default(),
             keys: KeyTable::default(),
@@ -263,7 +263,7 @@
         self.owner.is_idle() && self.claims.is_idle(now, DRAIN_PATIENCE)
     }
 
-    fn send_all(&mut self, letters: Vec<Letter>, fx: &mut Vec<Effect>) {
+    fn send_all(&mut self, letters: Vec<OutgoingMessage>, fx: &mut Vec<Effect>) {
         for (to, message) in letters {
             self.send(&to, message, fx);
         }
--- a/crates/jaypin_core/src/reducer/poison.rs
+++ b/crates/jaypin_core/src/reducer/poison.rs
@@ -10,9 +10,9 @@
     /// The refusal of a request whose content is quarantined.
     pub(super) fn quarantined(&self, now: Instant, info: &RequestInfo) -> Option<Refusal> {
         let rule = &self.rules.quarantine;
-        let left = self
-            .quarantine
-            .held_for(now, info.fingerprint, rule.strikes, rule.hold)?;
+        let left =
+            self.quarantine
+                .remaining_quarantine(now, info.fingerprint, rule.strikes, rule.hold)?;
         let refusal = Refusal::not_run(Reason::Quarantined).retry_after(left);
         Some(refusal.rule_line(rule.origin.line))
     }
@@ -37,7 +37,7 @@
         let rule = &self.rules.quarantine;
         let (limit, hold) = (rule.strikes.max(1), rule.hold);
         self.quarantine.expire(now, hold);
-        for (fingerprint, strikes) in self.quarantine.judge(now, limit) {
+        for (fingerprint, strikes) in self.quarantine.evaluate_crashes(now, limit) {
             self.spread(fingerprint, strikes, fx);
         }
     }
@@ -49,7 +49,10 @@
         strikes: u32,
         fx: &mut Vec<Effect>,
     ) {
-        if self.quarantine.heard(now, fingerprint, strikes) {
+        if self
+            .quarantine
+            .record_crash_count(now, fingerprint, strikes)
+        {
             self.spread(fingerprint, strikes, fx);
         }
     }
--- a/crates/jaypin_core/src/reducer/succession.rs
+++ b/crates/jaypin_core/src/reducer/succession.rs
@@ -103,7 +103,7 @@
         let Some(scheduler) = self.schedulers.get_mut(shard) else {
             return self.keep_early_report(now, from, shard, running);
         };
-        scheduler.in_flight(from, running, now);
+        scheduler.adopt_in_flight(from, running, now);
         if let Some(rebuild) = self.rebuilds.awaited.get_mut(shard) {
             rebuild.owners.remove(from);
         }
--- a/crates/jaypin_core/src/reducer/time.rs
+++ b/crates/jaypin_core/src/reducer/time.rs
@@ -32,10 +32,10 @@
         let mut overdue = Vec::new();
         let mut late = Vec::new();
         for (id, request) in &self.owner.waiting {
-            if now.duration_since(request.arrived_at) >= request.info.first_token {
+            if now.duration_since(request.arrived_at) >= request.info.first_token_due_in {
                 late.push(id.clone());
             } else if !request.state.queued
-                && now.duration_since(request.state.asked_at) >= self.cfg.ask_timeout
+                && now.duration_since(request.state.requested_at) >= self.cfg.ask_timeout
             {
                 overdue.push(id.clone());
             }
@@ -56,7 +56,7 @@
             shard,
             leader,
             queued,
-            unreached,
+            connection_refused: unreached,
             ..
         } = request.state;
         self.send(
--- a/crates/jaypin_core/src/request.rs
+++ b/crates/jaypin_core/src/request.rs
@@ -36,18 +36,18 @@
     /// The caller's idempotency key.
     pub key: Option<String>,
     /// Time from arrival within which the first token is due.
-    pub first_token: Duration,
+    pub first_token_due_in: Duration,
     /// Time from arrival within which the whole answer is due.
-    pub whole: Duration,
+    pub response_due_in: Duration,
     /// Lines of the rules that applied when it was read.
     pub rule_lines: Vec<u32>,
 }
 
 impl RequestInfo {
     /// Takes time that went by off the deadlines.
-    pub fn spend(&mut self, time: Duration) {
-        self.first_token = self.first_token.saturating_sub(time);
-        self.whole = self.whole.saturating_sub(time);
+    pub fn subtract_elapsed(&mut self, time: Duration) {
+        self.first_token_due_in = self.first_token_due_in.saturating_sub(time);
+        self.response_due_in = self.response_due_in.saturating_sub(time);
     }
 }
 
@@ -57,7 +57,7 @@
     /// The claim asked for.
     pub claim: HeldClaim,
     /// When it was last asked for.
-    pub asked_at: Instant,
+    pub requested_at: Instant,
 }
 
 /// State: waiting for a shard scheduler's grant.
@@ -70,11 +70,11 @@
     /// Number of the ask; answers to earlier asks are stale.
     pub attempt: u32,
     /// When it was asked.
-    pub asked_at: Instant,
+    pub requested_at: Instant,
     /// Whether the shard scheduler said that the request is queued.
     pub queued: bool,
     /// Whether a backend server refused the connection before.
-    pub unreached: bool,
+    pub connection_refused: bool,
     /// Shards that refused it for want of capacity.
     pub refused_by: Vec<Shard>,
 }
@@ -94,7 +94,7 @@
     /// Number of the ask that got the slot.
     pub attempt: u32,
     /// When it was handed over.
-    pub at: Instant,
+    pub dispatched_at: Instant,
     /// When the first token came.
     pub first_token_at: Option<Instant>,
     /// Whether a byte of it left this host.
@@ -135,7 +135,7 @@
 
 impl Request<Granted> {
     /// Starts a request whose owner chose the backend server itself.
-    pub fn chosen(info: RequestInfo, arrived_at: Instant, slot: Slot) -> Self {
+    pub fn placed_by_owner(info: RequestInfo, arrived_at: Instant, slot: Slot) -> Self {
         Self {
             info,
             arrived_at,
@@ -148,7 +148,7 @@
         let state = Dispatched {
             slot: self.state.slot,
             attempt: self.state.attempt,
-            at,
+            dispatched_at: at,
             first_token_at: None,
             sent: false,
         };
@@ -165,7 +165,7 @@
     ///
     /// # Errors
     /// Gives the request as it is when a byte may have left, or no grant was needed.
-    pub fn take_back(self, ask_at: Instant) -> Result<Request<Waiting>, Box<Self>> {
+    pub fn requeue(self, ask_at: Instant) -> Result<Request<Waiting>, Box<Self>> {
         let grant = self.state.slot.grant.clone();
         let Some((shard, leader, _)) = grant.filter(|_| !self.state.sent) else {
             return Err(Box::new(self));
@@ -174,10 +174,10 @@
             shard,
             leader,
             attempt: self.state.attempt,
-            asked_at: ask_at,
+            requested_at: ask_at,
             queued: false,
             refused_by: Vec::new(),
-            unreached: true,
+            connection_refused: true,
         };
         Ok(Request {
             info: self.info,
--- a/crates/jaypin_core/src/scheduler/estimate.rs
+++ b/crates/jaypin_core/src/scheduler/estimate.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 
 use super::queue::{WaitingAsk, Work};
-use super::{Letter, Scheduler};
+use super::{OutgoingMessage, Scheduler};
 use crate::{Message, Reason, Refusal};
 
 /// Seconds over which arrivals are averaged.
@@ -130,10 +130,10 @@
             let limit = model.limit(gap);
             all.slots += f64::from(limit);
             all.prefill_rate += model.prefill_rate();
-            all.answer_rate += f64::from(limit) / model.pace.gap(limit);
+            all.answer_rate += f64::from(limit) / model.token_gaps.gap(limit);
             all.least_backlog = all.least_backlog.min(model.backlog(now));
             all.best_prefill = all.best_prefill.max(model.prefill_rate());
-            all.best_gap = all.best_gap.min(model.pace.gap(1));
+            all.best_gap = all.best_gap.min(model.token_gaps.gap(1));
         }
         all
     }
@@ -145,7 +145,7 @@
         }
         let best = self.live_backends().map(|backend| {
             let prefill = backend.model.prefill(waiting.ask.prompt_tokens);
-            let answer = f64::from(waiting.answer_tokens) * backend.model.pace.gap(1);
+            let answer = f64::from(waiting.answer_tokens) * backend.model.token_gaps.gap(1);
             (prefill, prefill + answer)
         });
         let (first, whole) = best
@@ -209,7 +209,7 @@
         waiting: &WaitingAsk,
         reason: Reason,
         now: Instant,
-        out: &mut Vec<Letter>,
+        out: &mut Vec<OutgoingMessage>,
     ) {
         let drain = self.expected_wait(waiting.ask.tier, now);
         let line = self.rules.tier(waiting.ask.tier).line;
@@ -223,7 +223,7 @@
         reason: Reason,
         wait: Duration,
         line: Option<u32>,
-        out: &mut Vec<Letter>,
+        out: &mut Vec<OutgoingMessage>,
     ) {
         let spread = self.rng.random_range(RETRY_SPREAD);
         let back = (wait.as_secs_f64() * spread).clamp(RETRY_BOUNDS.0, RETRY_BOUNDS.1);
--- a/crates/jaypin_core/src/scheduler/grants.rs
+++ b/crates/jaypin_core/src/scheduler/grants.rs
@@ -4,7 +4,7 @@
 
 use super::queue::WaitingAsk;
 use super::running::Running;
-use super::{Backend, Letter, Scheduler};
+use super::{Backend, OutgoingMessage, Scheduler};
 use crate::rule_index::TierTargets;
 use crate::{BackendId, Candidate, Grant, Message, RequestId};
 
@@ -71,7 +71,7 @@
 
 impl Scheduler {
     /// Grants while something that waits fits somewhere.
-    pub(super) fn pump(&mut self, now: Instant, out: &mut Vec<Letter>) {
+    pub(super) fn pump(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         if now < self.ready_at || self.queue.len() == 0 {
             return;
         }
@@ -133,7 +133,7 @@
         };
         let mut has_room = false;
         for backend in self.live_backends() {
-            let is_slow = backend.model.pace.misses(strict_gap);
+            let is_slow = backend.model.token_gaps.misses(strict_gap);
             round.strict_is_possible |= !is_slow;
             has_room |= backend.model.room(f64::MAX, now) > 0;
             if !is_slow {
@@ -253,7 +253,10 @@
     ) -> Option<Choice> {
         let model = &backend.model;
         let gap = gap_for(backend, tier, round)?;
-        if round.is_reserved && round.strict_is_possible && !model.pace.misses(round.strict_gap) {
+        if round.is_reserved
+            && round.strict_is_possible
+            && !model.token_gaps.misses(round.strict_gap)
+        {
             return None;
         }
         if model.room(gap, round.now) == 0 {
@@ -274,7 +277,7 @@
         if guard.is_some_and(|guard| self.would_crowd(backend, first_token, guard, round.now)) {
             return None;
         }
-        let answer = f64::from(waiting.answer_tokens) * model.pace.gap(model.running + 1);
+        let answer = f64::from(waiting.answer_tokens) * model.token_gaps.gap(model.running + 1);
         let spent = round.now.saturating_duration_since(waiting.since);
         let first_left = waiting.ask.first_token_in.saturating_sub(spent);
         let whole_left = waiting.ask.whole_in.saturating_sub(spent);
@@ -354,7 +357,13 @@
 
     // ------------------------------------------------------------------ granting
 
-    fn grant(&mut self, id: &RequestId, options: Vec<Choice>, now: Instant, out: &mut Vec<Letter>) {
+    fn grant(
+        &mut self,
+        id: &RequestId,
+        options: Vec<Choice>,
+        now: Instant,
+        out: &mut Vec<OutgoingMessage>,
+    ) {
         let Some(waiting) = self.queue.serve(id) else {
             return;
         };
@@ -387,7 +396,8 @@
         let tokens = self.uncached(backend, waiting);
         let expected = backend.model.backlog(now)
             + backend.model.prefill(tokens)
-            + f64::from(waiting.answer_tokens) * backend.model.pace.gap(backend.model.running + 1);
+            + f64::from(waiting.answer_tokens)
+                * backend.model.token_gaps.gap(backend.model.running + 1);
         let run = Running {
             number: self.number,
             attempt: waiting.ask.attempt,
@@ -415,7 +425,7 @@
 /// One that is too slow for interactive work takes deferrable work up to that work's
 /// own target, and now and then a single request that shows whether it recovered.
 fn gap_for(backend: &Backend, tier: &TierTargets, round: &Round) -> Option<f64> {
-    let pace = &backend.model.pace;
+    let pace = &backend.model.token_gaps;
     if !round.strict_is_possible || !pace.misses(round.strict_gap) {
         return Some(round.strict_gap);
     }
--- a/crates/jaypin_core/src/scheduler/limits.rs
+++ b/crates/jaypin_core/src/scheduler/limits.rs
@@ -157,12 +157,12 @@
     }
 
     /// What limited accounts asked here since the last call.
-    pub fn take_seen(&mut self, now: Instant) -> Vec<Seen> {
+    pub fn take_usage(&mut self, now: Instant) -> Vec<Seen> {
         self.limits.take_seen(now)
     }
 
     /// Takes what this shard may use of an account's limits.
-    pub fn allow(&mut self, account: &AccountId, allowance: Allowance) {
+    pub fn set_allowance(&mut self, account: &AccountId, allowance: Allowance) {
         self.limits.allow(account, allowance);
     }
 }
--- a/crates/jaypin_core/src/scheduler/mod.rs
+++ b/crates/jaypin_core/src/scheduler/mod.rs
@@ -28,7 +28,7 @@
 pub use report::{BackendReport, BackendState, ShardReport};
 
 /// A message to a host, as schedulers produce them.
-pub type Letter = (HostId, Message);
+pub type OutgoingMessage = (HostId, Message);
 
 /// The scheduler of one shard; soft state on the host that leads it.
 #[derive(Debug)]
@@ -120,14 +120,14 @@
     }
 
     /// Takes a lagging load report.
-    pub fn report(&mut self, report: &LoadReport, now: Instant) {
+    pub fn apply_load_report(&mut self, report: &LoadReport, now: Instant) {
         if let Some(backend) = self.backends.get_mut(&report.backend) {
             backend.model.report(report, now);
         }
     }
 
     /// Takes what an owner has running from before this scheduler's time.
-    pub fn in_flight(&mut self, owner: &HostId, entries: Vec<InFlight>, now: Instant) {
+    pub fn adopt_in_flight(&mut self, owner: &HostId, entries: Vec<InFlight>, now: Instant) {
         for entry in entries {
             if self.running.contains(&entry.id) {
                 continue;
@@ -141,14 +141,14 @@
     }
 
     /// Ends the time for owners' reports early, since all have reported.
-    pub fn end_rebuild(&mut self, now: Instant, out: &mut Vec<Letter>) {
+    pub fn end_rebuild(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         self.ready_at = self.ready_at.min(now);
         self.pump(now, out);
     }
 
     /// Drops what a lost owner waited for. What it has running stays counted until
     /// its backend servers had time to end it.
-    pub fn forget_owner(&mut self, owner: &HostId, now: Instant) {
+    pub fn mark_owner_lost(&mut self, owner: &HostId, now: Instant) {
         for id in self.queue.of_owner(owner) {
             self.queue.remove(&id);
         }
@@ -156,7 +156,7 @@
     }
 
     /// Counts on an owner again that was only unreachable.
-    pub fn regain_owner(&mut self, owner: &HostId, now: Instant) {
+    pub fn mark_owner_recovered(&mut self, owner: &HostId, now: Instant) {
         self.running.owner_back(owner, now);
     }
 
@@ -167,7 +167,13 @@
     /// A repeated ask with a greater number replaces the earlier one, whose grant the
     /// owner will not use; one with the same number or a smaller one was duplicated or
     /// overtaken on its way and changes nothing.
-    pub fn ask(&mut self, owner: &HostId, ask: Ask, now: Instant, out: &mut Vec<Letter>) {
+    pub fn submit(
+        &mut self,
+        owner: &HostId,
+        ask: Ask,
+        now: Instant,
+        out: &mut Vec<OutgoingMessage>,
+    ) {
         if self.is_stale(&ask) {
             return;
         }
@@ -199,7 +205,7 @@
 
     /// A request that can't start now waits, unless it could only miss its deadline or
     /// the queue is full.
-    fn keep_or_refuse(&mut self, id: &RequestId, now: Instant, out: &mut Vec<Letter>) {
+    fn keep_or_refuse(&mut self, id: &RequestId, now: Instant, out: &mut Vec<OutgoingMessage>) {
         let Some(waiting) = self.queue.get(id) else {
             return;
         };
@@ -231,13 +237,13 @@
     }
 
     /// Learns what became of a slot, and grants it anew once it is free.
-    pub fn progress(
+    pub fn apply_progress(
         &mut self,
         id: &RequestId,
         number: GrantNumber,
         progress: SlotProgress,
         now: Instant,
-        out: &mut Vec<Letter>,
+        out: &mut Vec<OutgoingMessage>,
     ) {
         if !self.running.holds(id, number) {
             return;
@@ -266,7 +272,7 @@
     }
 
     /// Takes unused grants back, gives up on what is too late, and grants what is free.
-    pub fn tick(&mut self, now: Instant, out: &mut Vec<Letter>) {
+    pub fn tick(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         self.check_running(now, out);
         if now >= self.ready_at {
             while let Some(late) = self.queue.pop_late(now) {
@@ -318,7 +324,7 @@
         }
         if let Some(backend) = self.backends.get_mut(&run.backend) {
             backend.model.first_token(run.number.sequence, now);
-            run.area_at_first_token = backend.model.pace.area_at(now);
+            run.area_at_first_token = backend.model.token_gaps.area_at(now);
         }
     }
 
@@ -337,12 +343,12 @@
         let streaming = now
             .saturating_duration_since(first)
             .saturating_sub(since_grant.saturating_sub(after));
-        let streams = (backend.model.pace.area_at(now) - run.area_at_first_token)
+        let streams = (backend.model.token_gaps.area_at(now) - run.area_at_first_token)
             / now.saturating_duration_since(first).as_secs_f64().max(1e-3);
         let gaps = tokens.saturating_sub(1);
         backend
             .model
-            .pace
+            .token_gaps
             .saw(gaps, streaming.as_secs_f64(), streams);
     }
 
@@ -372,7 +378,7 @@
     /// Guards against slots that stay counted for ever: a grant or a last word can be
     /// lost with a link, and an owner can die. The owner answers from its own table, so
     /// no running request loses its slot.
-    fn check_running(&mut self, now: Instant, out: &mut Vec<Letter>) {
+    fn check_running(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         while let Some(due) = self.running.pop_due(now) {
             match due {
                 running::Due::Free(id) => self.release(&id, now),
--- a/crates/jaypin_core/src/shard_hints.rs
+++ b/crates/jaypin_core/src/shard_hints.rs
@@ -22,7 +22,7 @@
 
 impl ShardHints {
     /// Takes a wait that an answer carried.
-    pub fn note(&mut self, shard: &Shard, tier: u8, wait: Duration, now: Instant) {
+    pub fn record_wait(&mut self, shard: &Shard, tier: u8, wait: Duration, now: Instant) {
         self.heard
             .insert((shard.clone(), tier), Hint { wait, at: now });
         if self.heard.len() > KEPT {
--- a/crates/jaypin_core/tests/claim_order.rs
+++ b/crates/jaypin_core/tests/claim_order.rs
@@ -165,8 +165,8 @@
             fingerprint: 7,
             repeat: Repeat::Never,
             key: Some(key),
-            first_token: Duration::from_secs(1),
-            whole: Duration::from_secs(5),
+            first_token_due_in: Duration::from_secs(1),
+            response_due_in: Duration::from_secs(5),
             rule_lines: Vec::new(),
         };
         self.called.push((at, id));
--- a/crates/jaypin_core/tests/common/mod.rs
+++ b/crates/jaypin_core/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use jaypin_core::{
-    Ask, BackendRecord, Config, Grant, GrantNumber, HostId, Letter, Message, Presence, Refusal,
-    RuleIndex, Scheduler, Shard, SlotProgress,
+    Ask, BackendRecord, Config, Grant, GrantNumber, HostId, Message, OutgoingMessage, Presence,
+    Refusal, RuleIndex, Scheduler, Shard, SlotProgress,
 };
 use jaypin_rules::parse;
 
@@ -27,7 +27,7 @@
 pub struct Bed {
     pub scheduler: Scheduler,
     pub now: Instant,
-    pub out: Vec<Letter>,
+    pub out: Vec<OutgoingMessage>,
 }
 
 pub fn shard() -> Shard {
@@ -91,13 +91,13 @@
 
     pub fn ask(&mut self, ask: Ask) {
         let owner: HostId = "host-a".into();
-        self.scheduler.ask(&owner, ask, self.now, &mut self.out);
+        self.scheduler.submit(&owner, ask, self.now, &mut self.out);
     }
 
     pub fn progress(&mut self, grant: &Grant, progress: SlotProgress) {
         let (now, out) = (self.now, &mut self.out);
         self.scheduler
-            .progress(&grant.id, grant.number, progress, now, out);
+            .apply_progress(&grant.id, grant.number, progress, now, out);
     }
 
     pub fn first_token(&mut self, grant: &Grant) {
--- a/crates/jaypin_core/tests/honest_refusals.rs
+++ b/crates/jaypin_core/tests/honest_refusals.rs
@@ -95,8 +95,8 @@
             fingerprint: 5,
             repeat,
             key: Some(format!("{prefix}gate")),
-            first_token: Duration::from_secs(1),
-            whole: Duration::from_secs(5),
+            first_token_due_in: Duration::from_secs(1),
+            response_due_in: Duration::from_secs(5),
             rule_lines: Vec::new(),
         };
         self.event(Event::Arrived(info))
--- a/crates/jaypin_core/tests/owner_choice.rs
+++ b/crates/jaypin_core/tests/owner_choice.rs
@@ -34,8 +34,8 @@
         fingerprint: 0,
         repeat: Repeat::Idempotent,
         key: None,
-        first_token: Duration::from_secs(2),
-        whole: Duration::from_secs(30),
+        first_token_due_in: Duration::from_secs(2),
+        response_due_in: Duration::from_secs(30),
         rule_lines: Vec::new(),
     }
 }
@@ -88,7 +88,7 @@
         });
         steps
             .filter_map(|step| match step {
-                Step::Asked { shard, leader, .. } => Some((shard, leader)),
+                Step::SlotRequested { shard, leader, .. } => Some((shard, leader)),
                 _ => None,
             })
             .collect()
--- a/crates/jaypin_core/tests/quarantine.rs
+++ b/crates/jaypin_core/tests/quarantine.rs
@@ -16,15 +16,17 @@
 
 fn die(quarantine: &mut Quarantine, now: Instant, together: &[Lost]) -> Instant {
     for lost in together {
-        quarantine.died(now, &BackendId::from("engine-0"), *lost);
+        quarantine.record_lost_call(now, &BackendId::from("engine-0"), *lost);
     }
     let later = now + Duration::from_secs(1);
-    quarantine.judge(later, LIMIT);
+    quarantine.evaluate_crashes(later, LIMIT);
     later
 }
 
 fn is_held(quarantine: &Quarantine, now: Instant, fingerprint: u64) -> bool {
-    quarantine.held_for(now, fingerprint, LIMIT, HOLD).is_some()
+    quarantine
+        .remaining_quarantine(now, fingerprint, LIMIT, HOLD)
+        .is_some()
 }
 
 #[test]
@@ -49,7 +51,7 @@
         now = die(&mut quarantine, now, &[lost(1), served]);
     }
     assert!(is_held(&quarantine, now, 1));
-    assert_eq!(quarantine.strikes(2), 0);
+    assert_eq!(quarantine.crash_count(2), 0);
 }
 
 /// Two new requests always die together: either may be the cause, so neither is refused
@@ -69,7 +71,7 @@
 #[test]
 fn strikes_that_are_heard_of_count_once() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
-    assert!(quarantine.heard(now, 1, 2));
-    assert!(!quarantine.heard(now, 1, 2) && !quarantine.heard(now, 1, 1));
+    assert!(quarantine.record_crash_count(now, 1, 2));
+    assert!(!quarantine.record_crash_count(now, 1, 2) && !quarantine.record_crash_count(now, 1, 1));
     assert!(is_held(&quarantine, now, 1));
 }
--- a/crates/jaypin_core/tests/scheduler.rs
+++ b/crates/jaypin_core/tests/scheduler.rs
@@ -271,7 +271,13 @@
     }
     let fast = bed.run_one(ask("last", 1), 20, 10);
     assert_eq!(&*fast.backend, "engine-0");
-    let gap = |name| bed.scheduler.model(name).expect("a model").pace.gap(1);
+    let gap = |name| {
+        bed.scheduler
+            .model(name)
+            .expect("a model")
+            .token_gaps
+            .gap(1)
+    };
     assert!(gap("engine-0") < gap("engine-1"));
 }
 
@@ -312,7 +318,7 @@
         leaving: false,
         age: Duration::from_secs(5),
     };
-    bed.scheduler.report(&report, bed.now);
+    bed.scheduler.apply_load_report(&report, bed.now);
     bed.ask(ask("q", 1));
     bed.pass(10);
     assert!(
@@ -320,7 +326,7 @@
         "an old report of idleness frees nothing"
     );
     report.leaving = true;
-    bed.scheduler.report(&report, bed.now);
+    bed.scheduler.apply_load_report(&report, bed.now);
     bed.ask(ask("command", 0));
     assert!(bed.grants().is_empty());
 }
@@ -365,7 +371,7 @@
     bed.ask(ask("r0", 1));
     assert_eq!(bed.grants().len(), 1);
     let owner: HostId = "host-a".into();
-    bed.scheduler.forget_owner(&owner, bed.now);
+    bed.scheduler.mark_owner_lost(&owner, bed.now);
     bed.pass(1_000);
     assert_eq!(bed.scheduler.running_count(), 1);
     bed.pass(2_000);
@@ -401,8 +407,8 @@
         prompt_tokens: 100,
         max_tokens: 20,
     });
-    scheduler.ask(&owner, ask("r0", 1), bed.now, &mut bed.out);
-    scheduler.in_flight(&owner, entries.into(), bed.now);
+    scheduler.submit(&owner, ask("r0", 1), bed.now, &mut bed.out);
+    scheduler.adopt_in_flight(&owner, entries.into(), bed.now);
     bed.now += cfg.rebuild_window;
     scheduler.tick(bed.now, &mut bed.out);
     assert!(bed.grants().is_empty());
--- a/crates/jaypin_core/tests/stale_grants.rs
+++ b/crates/jaypin_core/tests/stale_grants.rs
@@ -63,8 +63,8 @@
         fingerprint: 1,
         repeat: Repeat::Idempotent,
         key: None,
-        first_token: Duration::from_mins(1),
-        whole: Duration::from_mins(10),
+        first_token_due_in: Duration::from_mins(1),
+        response_due_in: Duration::from_mins(10),
         rule_lines: Vec::new(),
     }
 }
--- a/crates/jaypin_router/src/router/arrival.rs
+++ b/crates/jaypin_router/src/router/arrival.rs
@@ -139,7 +139,7 @@
         if let Some(left) = self.quarantined_for(admitted.fingerprint, now) {
             let refusal = Refusal::not_run(Reason::Quarantined);
             let refusal = refusal.retry_after(left.min(MAX_QUARANTINE_RETRY_AFTER));
-            let crash_count = self.quarantine.strikes(admitted.fingerprint);
+            let crash_count = self.quarantine.crash_count(admitted.fingerprint);
             return fx.push(refuse(
                 number,
                 requester,
--- a/crates/jaypin_router/src/router/attempt.rs
+++ b/crates/jaypin_router/src/router/attempt.rs
@@ -136,7 +136,8 @@
                 fingerprint: request.admitted.fingerprint,
                 had_token: request.state.first_event_at.is_some(),
             };
-            self.quarantine.died(now, &request.state.backend, lost);
+            self.quarantine
+                .record_lost_call(now, &request.state.backend, lost);
         }
         let admitted = &request.admitted;
         let (number, service) = (admitted.number, admitted.service.clone());
--- a/crates/jaypin_router/src/router/reporting.rs
+++ b/crates/jaypin_router/src/router/reporting.rs
@@ -249,7 +249,10 @@
 
     /// Describes this host and its state of the store.
     fn whole_report(&self, now: Instant, boot_time: BootTime) -> WholeReport {
-        let crash_counts = self.quarantine.newest(MAX_REPORTED_CONTENTS).into_iter();
+        let crash_counts = self
+            .quarantine
+            .most_recent(MAX_REPORTED_CONTENTS)
+            .into_iter();
         let crash_counts = crash_counts.map(|(fingerprint, crash_count)| CrashCount {
             fingerprint,
             crash_count,
--- a/crates/jaypin_router/src/router/updates.rs
+++ b/crates/jaypin_router/src/router/updates.rs
@@ -144,7 +144,7 @@
         }
         for crashes in &update.crash_counts {
             self.quarantine
-                .heard(now, crashes.fingerprint, crashes.crash_count);
+                .record_crash_count(now, crashes.fingerprint, crashes.crash_count);
         }
     }
 
@@ -298,7 +298,7 @@
     /// Quarantines request contents that crashed too many backend servers, and ends old
     /// quarantines.
     pub(super) fn update_quarantines(&mut self, now: Instant) {
-        let quarantined = self.quarantine.judge(now, CRASH_LIMIT);
+        let quarantined = self.quarantine.evaluate_crashes(now, CRASH_LIMIT);
         if !quarantined.is_empty() {
             self.report_state.report_soon();
         }
@@ -308,6 +308,6 @@
     /// Returns the remaining time for which a request content is quarantined, if it is.
     pub(super) fn quarantined_for(&self, fingerprint: u64, now: Instant) -> Option<Duration> {
         self.quarantine
-            .held_for(now, fingerprint, CRASH_LIMIT, QUARANTINE_TIME)
+            .remaining_quarantine(now, fingerprint, CRASH_LIMIT, QUARANTINE_TIME)
     }
 }
