--- a/crates/jaypin/src/answer.rs
+++ b/crates/jaypin/src/answer.rs
@@ -51,7 +51,7 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if self.armed {
-            let _ = self.events.send(Event::CallerGone(self.id.clone()));
+            let _ = self.events.send(Event::CallerDisconnected(self.id.clone()));
         }
     }
 }
--- a/crates/jaypin/src/backend_call/mod.rs
+++ b/crates/jaypin/src/backend_call/mod.rs
@@ -131,7 +131,7 @@
         Ok(Err(_)) if is_stream => return Some(stream::pass(cx, passed, First::Cut).await),
         Err(_) if is_stream => return Some(stream::pass(cx, passed, First::Silent).await),
         Ok(Err(_)) => return Some(whole::after_cut(cx).await),
-        Err(_) => return Some(CallOutcome::Lost),
+        Err(_) => return Some(CallOutcome::ConnectionLost),
     };
     if response.status().is_server_error() {
         return Some(CallOutcome::Failed);
--- a/crates/jaypin/src/backend_call/stream.rs
+++ b/crates/jaypin/src/backend_call/stream.rs
@@ -80,7 +80,7 @@
             fruitless + 1
         };
         if fruitless > MAX_RESUMES {
-            return CallOutcome::Lost;
+            return CallOutcome::ConnectionLost;
         }
         sleep(RESUME_PAUSE * 2_u32.pow(fruitless - 1)).await;
         let path = format!("/v1/streams/{}?offset={}", cx.call.id, passed.tokens);
@@ -89,12 +89,12 @@
             // A restarted engine knows nothing of the streams before.
             Ok(Some(response)) if response.status() == StatusCode::NOT_FOUND => {
                 return if was_cut {
-                    CallOutcome::Died
+                    CallOutcome::BackendCrashed
                 } else {
-                    CallOutcome::Lost
+                    CallOutcome::ConnectionLost
                 };
             }
-            Err(ConnectError::Refused) if was_cut => return CallOutcome::Died,
+            Err(ConnectError::Refused) if was_cut => return CallOutcome::BackendCrashed,
             Ok(_) | Err(_) => {}
         }
     }
--- a/crates/jaypin/src/backend_call/whole.rs
+++ b/crates/jaypin/src/backend_call/whole.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::header::CONTENT_TYPE;
 use hyper::http::response;
-use jaypin_core::{CallOutcome, CallProgress, Event, MAX_STORED_ANSWER, StoredAnswer};
+use jaypin_core::{CallOutcome, CallProgress, Event, MAX_STORED_ANSWER_BYTES, StoredAnswer};
 use jaypin_http::ConnectError;
 use serde::Deserialize;
 use tokio::time::timeout;
@@ -23,7 +23,7 @@
     let body = match timeout(left, body.collect()).await {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => return after_cut(cx).await,
-        Err(_) => return CallOutcome::Lost,
+        Err(_) => return CallOutcome::ConnectionLost,
     };
     let bytes = body.to_bytes();
     cx.tell(CallProgress::FirstToken);
@@ -48,8 +48,8 @@
 /// the call, anything else is a lost connection.
 pub async fn after_cut(cx: &Cx<'_>) -> CallOutcome {
     match connect(&cx.call.address).await {
-        Err(ConnectError::Refused) => CallOutcome::Died,
-        Ok(_) | Err(_) => CallOutcome::Lost,
+        Err(ConnectError::Refused) => CallOutcome::BackendCrashed,
+        Ok(_) | Err(_) => CallOutcome::ConnectionLost,
     }
 }
 
@@ -58,13 +58,13 @@
 fn tell_answered(events: &Sender<Event>, call: &Call, head: &response::Parts, body: &Bytes) {
     let content_type = head.headers.get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
-    let answer = (body.len() <= MAX_STORED_ANSWER).then(|| StoredAnswer {
+    let answer = (body.len() <= MAX_STORED_ANSWER_BYTES).then(|| StoredAnswer {
         status: head.status.as_u16(),
         content_type: content_type.unwrap_or_default().into(),
         body: body.to_vec().into(),
     });
     let id = call.id.clone();
-    let _ = events.send(Event::Answered { id, answer });
+    let _ = events.send(Event::KeyedCallAnswered { id, answer });
 }
 
 fn tokens_in(body: &[u8]) -> u32 {
--- a/crates/jaypin/src/links/carry.rs
+++ b/crates/jaypin/src/links/carry.rs
@@ -57,9 +57,9 @@
 fn report_lost(shared: &Shared, peer: HostId, error: &LinkError) {
     log::info!(peer:% = peer, error:%; "peer not reached");
     shared.tell(if error.is_refusal() {
-        Event::PeerLost(peer)
+        Event::PeerExited(peer)
     } else {
-        Event::PeerSilent(peer)
+        Event::PeerUnresponsive(peer)
     });
 }
 
@@ -80,7 +80,7 @@
         if host != *peer {
             return Err(LinkError::AnotherHost { host });
         }
-        shared.tell(Event::PeerMet { host, incarnation });
+        shared.tell(Event::PeerConnected { host, incarnation });
         match carry(shared, peer, socket, queue, true).await {
             End::Idle if shared.routes().close_idle(peer, number, queue) => return Ok(()),
             End::Idle => {}
@@ -98,7 +98,7 @@
             let Some((number, queue)) = opened else {
                 return;
             };
-            shared.tell(Event::PeerMet {
+            shared.tell(Event::PeerConnected {
                 host: host.clone(),
                 incarnation,
             });
--- a/crates/jaypin/src/links/listener.rs
+++ b/crates/jaypin/src/links/listener.rs
@@ -64,7 +64,7 @@
     let (peer, incarnation) = (hello.host, hello.incarnation);
     let opened = shared.routes().open(&peer);
     // The route comes first: what the reducer says to the peer then finds it.
-    shared.tell(Event::PeerMet {
+    shared.tell(Event::PeerConnected {
         host: peer.clone(),
         incarnation,
     });
--- a/crates/jaypin/src/metrics/mod.rs
+++ b/crates/jaypin/src/metrics/mod.rs
@@ -68,8 +68,8 @@
 fn ending(outcome: CallOutcome) -> &'static str {
     match outcome {
         CallOutcome::Complete => "complete",
-        CallOutcome::Lost => "lost",
-        CallOutcome::Died => "died",
+        CallOutcome::ConnectionLost => "lost",
+        CallOutcome::BackendCrashed => "died",
         CallOutcome::Failed => "failed",
         CallOutcome::Cancelled => "cancelled",
     }
--- a/crates/jaypin/src/reducer_task.rs
+++ b/crates/jaypin/src/reducer_task.rs
@@ -91,7 +91,7 @@
         return;
     }
     if summary.rules_version > last.rules_version {
-        last.rules = reducer.rules_read().clone();
+        last.rules = reducer.loaded_rules().clone();
         last.rules_version = summary.rules_version;
     }
     if members.list().version != last.hosts.version {
--- a/crates/jaypin/src/runner.rs
+++ b/crates/jaypin/src/runner.rs
@@ -63,10 +63,10 @@
             Effect::Cancel(id) => self.calls.cancel(&id),
             Effect::Send { to, message } => self.links.send(&to, message),
             Effect::KeepLinks(peers) => self.links.keep(peers),
-            Effect::Watch(on) => {
+            Effect::WatchPlatform(on) => {
                 self.watching.send_replace(on);
             }
-            Effect::ReadRules { version, text } => {
+            Effect::ParseRules { version, text } => {
                 let events = self.events.clone();
                 // Parsing the rules of 17,000 accounts takes a sixth of a second; the
                 // reducer's thread must not stand still for it.
--- a/crates/jaypin_core/examples/decisions.rs
+++ b/crates/jaypin_core/examples/decisions.rs
@@ -128,8 +128,8 @@
             account: format!("account-{}", number % 97).into(),
             prompt_tokens: 20,
             max_tokens: 20,
-            first_token_in: Duration::from_mins(10),
-            whole_in: Duration::from_mins(15),
+            first_token_due_in: Duration::from_mins(10),
+            response_due_in: Duration::from_mins(15),
             prefixes: vec![number as u64 % 500, number as u64],
         }));
     }
--- a/crates/jaypin_core/src/effect.rs
+++ b/crates/jaypin_core/src/effect.rs
@@ -51,9 +51,9 @@
     /// Keep links to these peers, whether or not there is something to say.
     KeepLinks(Vec<HostId>),
     /// Watch the platform, or leave that to others.
-    Watch(bool),
+    WatchPlatform(bool),
     /// Read a rule file that a peer sent.
-    ReadRules {
+    ParseRules {
         /// Its version.
         version: u64,
         /// The file.
--- a/crates/jaypin_core/src/event.rs
+++ b/crates/jaypin_core/src/event.rs
@@ -15,7 +15,7 @@
     /// A caller's request was read and its caller is known.
     Arrived(RequestInfo),
     /// The caller closed its connection.
-    CallerGone(RequestId),
+    CallerDisconnected(RequestId),
     /// A dispatched call went on.
     Call {
         /// The request.
@@ -24,7 +24,7 @@
         progress: CallProgress,
     },
     /// A call that may not be repeated was answered; told before its caller is.
-    Answered {
+    KeyedCallAnswered {
         /// The request.
         id: RequestId,
         /// The answer, if it is small enough to be kept.
@@ -40,11 +40,11 @@
         message: Message,
     },
     /// A peer's link was lost and a new one is refused: its process is gone.
-    PeerLost(HostId),
+    PeerExited(HostId),
     /// Nothing is heard of a peer, on an old link or a new one.
-    PeerSilent(HostId),
+    PeerUnresponsive(HostId),
     /// A link to a peer was made; both ends proved themselves.
-    PeerMet {
+    PeerConnected {
         /// The peer.
         host: HostId,
         /// The run of its process.
@@ -96,9 +96,9 @@
     /// The whole answer was passed on.
     Complete,
     /// The connection broke off or went silent for good.
-    Lost,
+    ConnectionLost,
     /// The backend server went down under it.
-    Died,
+    BackendCrashed,
     /// The backend server answered with an error.
     Failed,
     /// The caller left.
--- a/crates/jaypin_core/src/keys.rs
+++ b/crates/jaypin_core/src/keys.rs
@@ -13,15 +13,15 @@
 /// Length of one key period; a whole period is forgotten at once.
 pub const KEY_PERIOD: Duration = Duration::from_mins(1);
 /// Periods that a key is kept for, the running one not counted.
-pub const KEY_HORIZON: u64 = 30;
+pub const RETAINED_KEY_PERIODS: u64 = 30;
 /// Most keys in the table.
 pub const MAX_KEYS: usize = 50_000;
 /// Most keys of one client account in the table.
 pub const MAX_KEYS_PER_ACCOUNT: usize = MAX_KEYS / 4;
 /// Largest answer that is kept for replay, in bytes.
-pub const MAX_STORED_ANSWER: usize = 16 * 1024;
+pub const MAX_STORED_ANSWER_BYTES: usize = 16 * 1024;
 /// Bytes of answers kept for replay, over all keys; older ones go first.
-pub const MAX_STORED_BYTES: usize = 8 * 1024 * 1024;
+pub const MAX_TOTAL_STORED_BYTES: usize = 8 * 1024 * 1024;
 /// Longest part of a key that the caller chooses, in bytes.
 const MAX_UNIQUE: usize = 64;
 
@@ -176,7 +176,7 @@
 
     /// Forgets periods beyond the horizon; their keys are refused from then on.
     pub fn expire(&mut self, now: Instant) {
-        let oldest = self.period(now).saturating_sub(KEY_HORIZON);
+        let oldest = self.period(now).saturating_sub(RETAINED_KEY_PERIODS);
         while let Some(first) = self.periods.first_entry() {
             if *first.key() >= oldest {
                 break;
@@ -205,7 +205,7 @@
         let newest = self.period(now);
         // Guards against a second run after the table forgot the first: a key of a
         // forgotten period, or of one that was never issued, is not granted.
-        if key.period > newest || key.period < newest.saturating_sub(KEY_HORIZON) {
+        if key.period > newest || key.period < newest.saturating_sub(RETAINED_KEY_PERIODS) {
             return ClaimVerdict::Unknown;
         }
         // One account that sends keys without end must leave room for the others.
@@ -277,7 +277,7 @@
                 self.count -= 1;
             }
             KeyOutcome::Answered(answer) => {
-                let answer = answer.filter(|answer| answer.body.len() <= MAX_STORED_ANSWER);
+                let answer = answer.filter(|answer| answer.body.len() <= MAX_STORED_ANSWER_BYTES);
                 let bytes = answer.as_ref().map(|answer| answer.body.len());
                 entry.state = State::Answered(answer);
                 if let Some(bytes) = bytes {
@@ -288,7 +288,7 @@
             }
             KeyOutcome::Unknown => entry.state = State::Unknown,
         }
-        while self.answer_bytes > MAX_STORED_BYTES {
+        while self.answer_bytes > MAX_TOTAL_STORED_BYTES {
             self.drop_oldest_answer();
         }
     }
--- a/crates/jaypin_core/src/message.rs
+++ b/crates/jaypin_core/src/message.rs
@@ -108,18 +108,18 @@
         running: Vec<InFlight>,
     },
     /// Owner to shard scheduler: a call was lost because its backend server died.
-    Died {
+    BackendCrashed {
         /// The backend server.
         backend: BackendId,
         /// The call.
         lost: Lost,
     },
     /// To a partner: a fingerprint under which backend servers died.
-    Strike {
+    CrashCount {
         /// The fingerprint.
         fingerprint: u64,
         /// Strikes against it.
-        strikes: u32,
+        crash_count: u32,
     },
     /// To the host that a key names: may this request run?
     Claim {
@@ -186,7 +186,7 @@
         entries: Vec<(HostId, Member)>,
         /// Buckets of which these are all entries, and of which the receiver sends back
         /// what the sender lacks; none for mere news.
-        whole: Vec<u8>,
+        complete_buckets: Vec<u8>,
     },
 }
 
@@ -196,7 +196,7 @@
     /// Fingerprint of its content, salted by account.
     pub fingerprint: u64,
     /// Whether a first token had come.
-    pub had_token: bool,
+    pub had_first_token: bool,
 }
 
 /// What a host has, in a few bytes; contents follow on demand.
@@ -228,9 +228,9 @@
     /// Most tokens that the answer may have.
     pub max_tokens: u32,
     /// Time left for the first token.
-    pub first_token_in: Duration,
+    pub first_token_due_in: Duration,
     /// Time left for the whole answer.
-    pub whole_in: Duration,
+    pub response_due_in: Duration,
     /// Fingerprints of the prompt's prefixes, shortest first, salted by account.
     pub prefixes: Vec<u64>,
 }
--- a/crates/jaypin_core/src/message_bounds.rs
+++ b/crates/jaypin_core/src/message_bounds.rs
@@ -18,7 +18,7 @@
     /// without end and numbers that are none would overflow in estimates and stop the
     /// host; within these bounds no sum of them can.
     #[must_use]
-    pub fn bounded(self) -> Option<Self> {
+    pub fn with_bounds(self) -> Option<Self> {
         match self {
             Self::Ask(ask) => Some(Self::Ask(bounded_ask(ask))),
             Self::Progress {
@@ -83,8 +83,8 @@
 }
 
 fn bounded_ask(mut ask: Ask) -> Ask {
-    ask.first_token_in = ask.first_token_in.min(MAX_TIME);
-    ask.whole_in = ask.whole_in.min(MAX_TIME);
+    ask.first_token_due_in = ask.first_token_due_in.min(MAX_TIME);
+    ask.response_due_in = ask.response_due_in.min(MAX_TIME);
     ask.prompt_tokens = ask.prompt_tokens.min(MAX_TOKENS);
     ask.max_tokens = ask.max_tokens.min(MAX_TOKENS);
     ask
--- a/crates/jaypin_core/src/quarantine.rs
+++ b/crates/jaypin_core/src/quarantine.rs
@@ -127,7 +127,7 @@
             let mut new: Vec<u64> = death
                 .lost
                 .iter()
-                .filter(|lost| !lost.had_token)
+                .filter(|lost| !lost.had_first_token)
                 .map(|lost| lost.fingerprint)
                 .collect();
             new.sort_unstable();
--- a/crates/jaypin_core/src/reducer/arrival.rs
+++ b/crates/jaypin_core/src/reducer/arrival.rs
@@ -209,8 +209,8 @@
             account: info.account.clone(),
             prompt_tokens: info.prompt_tokens,
             max_tokens: info.max_tokens,
-            first_token_in: info.first_token_due_in.saturating_sub(spent),
-            whole_in: info.response_due_in.saturating_sub(spent),
+            first_token_due_in: info.first_token_due_in.saturating_sub(spent),
+            response_due_in: info.response_due_in.saturating_sub(spent),
             prefixes: info.prefixes.clone(),
         };
         let step = Step::SlotRequested {
--- a/crates/jaypin_core/src/reducer/calls.rs
+++ b/crates/jaypin_core/src/reducer/calls.rs
@@ -141,12 +141,15 @@
         let progress = SlotProgress::Finished {
             tokens,
             after: now.duration_since(request.state.dispatched_at),
-            lost: matches!(outcome, CallOutcome::Lost | CallOutcome::Died),
+            lost: matches!(
+                outcome,
+                CallOutcome::ConnectionLost | CallOutcome::BackendCrashed
+            ),
         };
         if let Some((leader, message)) = slot_message(&request, progress) {
             self.send(&leader, message, fx);
         }
-        if outcome == CallOutcome::Died {
+        if outcome == CallOutcome::BackendCrashed {
             self.tell_death(&request, fx);
         }
         let refusal = match outcome {
@@ -154,7 +157,7 @@
                 // An answer was settled when it came; without one nothing is known.
                 return self.settle(id, KeyOutcome::Unknown, fx);
             }
-            CallOutcome::Lost | CallOutcome::Died => {
+            CallOutcome::ConnectionLost | CallOutcome::BackendCrashed => {
                 Refusal::after_dispatch(Reason::BackendLost, Ran::Unknown)
             }
             CallOutcome::Failed => Refusal::after_dispatch(Reason::BackendFailed, Ran::Ran),
--- a/crates/jaypin_core/src/reducer/gossip.rs
+++ b/crates/jaypin_core/src/reducer/gossip.rs
@@ -109,7 +109,14 @@
         for partner in self.gossip.partners.clone() {
             if !entries.is_empty() {
                 let (entries, whole) = (entries.clone(), Vec::new());
-                self.send(&partner, Message::Members { entries, whole }, fx);
+                self.send(
+                    &partner,
+                    Message::Members {
+                        entries,
+                        complete_buckets: whole,
+                    },
+                    fx,
+                );
             }
             if versions_changed {
                 self.send(&partner, Message::Digest(digest), fx);
@@ -144,7 +151,7 @@
                 .is_watcher(&self.cfg.host, &self.cfg.failure_domain);
         if self.gossip.watching != Some(watching) {
             self.gossip.watching = Some(watching);
-            fx.push(Effect::Watch(watching));
+            fx.push(Effect::WatchPlatform(watching));
         }
     }
 
@@ -191,7 +198,7 @@
 
     pub(super) fn rules_offered(&mut self, version: u64, text: Arc<str>, fx: &mut Vec<Effect>) {
         if version > self.rules_version {
-            fx.push(Effect::ReadRules { version, text });
+            fx.push(Effect::ParseRules { version, text });
         }
     }
 
@@ -223,7 +230,14 @@
             return;
         }
         let entries = self.membership.table().in_buckets(&whole);
-        self.send(from, Message::Members { entries, whole }, fx);
+        self.send(
+            from,
+            Message::Members {
+                entries,
+                complete_buckets: whole,
+            },
+            fx,
+        );
     }
 
     pub(super) fn members(
@@ -238,7 +252,7 @@
         if !lacking.is_empty() {
             let back = Message::Members {
                 entries: lacking,
-                whole: Vec::new(),
+                complete_buckets: Vec::new(),
             };
             self.send(from, back, fx);
         }
--- a/crates/jaypin_core/src/reducer/messages.rs
+++ b/crates/jaypin_core/src/reducer/messages.rs
@@ -87,15 +87,18 @@
             Message::RuleText { version, text } => self.rules_offered(version, text, fx),
             Message::Hosts(list) => self.hosts(now, list, fx),
             Message::Buckets(hashes) => self.buckets(from, &hashes, fx),
-            Message::Members { entries, whole } => {
-                self.members(now, from, entries, &whole, fx);
+            Message::Members {
+                entries,
+                complete_buckets,
+            } => {
+                self.members(now, from, entries, &complete_buckets, fx);
             }
-            Message::Died { backend, lost } => {
+            Message::BackendCrashed { backend, lost } => {
                 self.quarantine.record_lost_call(now, &backend, lost)
             }
-            Message::Strike {
+            Message::CrashCount {
                 fingerprint,
-                strikes,
+                crash_count: strikes,
             } => self.strike_heard(now, fingerprint, strikes, fx),
             Message::Claim { key, id, subject } => {
                 self.claim_asked(now, from, key, id, &subject, fx);
--- a/crates/jaypin_core/src/reducer/mod.rs
+++ b/crates/jaypin_core/src/reducer/mod.rs
@@ -192,7 +192,7 @@
     /// The rules that [`Summary::rules_version`] names, or those read last while none are
     /// in force.
     #[must_use]
-    pub fn rules_read(&self) -> &Arc<RuleSet> {
+    pub fn loaded_rules(&self) -> &Arc<RuleSet> {
         &self.rules
     }
 
@@ -217,20 +217,22 @@
     fn take(&mut self, now: Instant, event: Event, fx: &mut Vec<Effect>) {
         match event {
             Event::Arrived(info) => self.arrived(now, info, fx),
-            Event::CallerGone(id) => self.caller_gone(&id, fx),
+            Event::CallerDisconnected(id) => self.caller_gone(&id, fx),
             Event::Call { id, progress } => self.call(now, &id, progress, fx),
-            Event::Answered { id, answer } => {
+            Event::KeyedCallAnswered { id, answer } => {
                 self.settle(&id, KeyOutcome::Answered(answer), fx);
             }
             Event::Load(report) => self.load(now, &report, fx),
             Event::Link { from, message } => {
-                if let Some(message) = message.bounded() {
+                if let Some(message) = message.with_bounds() {
                     self.message(now, &from, message, fx);
                 }
             }
-            Event::PeerLost(host) => self.peer_lost(now, &host, fx),
-            Event::PeerSilent(host) => self.peer_silent(now, &host, fx),
-            Event::PeerMet { host, incarnation } => self.peer_met(now, &host, incarnation, fx),
+            Event::PeerExited(host) => self.peer_lost(now, &host, fx),
+            Event::PeerUnresponsive(host) => self.peer_silent(now, &host, fx),
+            Event::PeerConnected { host, incarnation } => {
+                self.peer_met(now, &host, incarnation, fx)
+            }
             Event::Hosts(list) => self.hosts(now, list, fx),
             Event::Rules { version, rules } => self.rules(version, rules),
             Event::RuleText { version, text } => self.rule_text(version, text),
--- a/crates/jaypin_core/src/reducer/poison.rs
+++ b/crates/jaypin_core/src/reducer/poison.rs
@@ -23,11 +23,11 @@
         let Some((_, leader, _)) = slot.grant.clone() else {
             return;
         };
-        let died = Message::Died {
+        let died = Message::BackendCrashed {
             backend: slot.backend.clone(),
             lost: Lost {
                 fingerprint: request.info.fingerprint,
-                had_token: request.state.first_token_at.is_some(),
+                had_first_token: request.state.first_token_at.is_some(),
             },
         };
         self.send(&leader, died, fx);
@@ -59,9 +59,9 @@
 
     /// News goes to the few partners only, who pass it on once.
     fn spread(&mut self, fingerprint: u64, strikes: u32, fx: &mut Vec<Effect>) {
-        let strike = Message::Strike {
+        let strike = Message::CrashCount {
             fingerprint,
-            strikes,
+            crash_count: strikes,
         };
         for partner in self.strike_partners() {
             self.send(&partner, strike.clone(), fx);
--- a/crates/jaypin_core/src/scheduler/estimate.rs
+++ b/crates/jaypin_core/src/scheduler/estimate.rs
@@ -141,7 +141,7 @@
     /// Time that may pass before a start can't meet the deadline any more.
     pub(super) fn slack(&self, waiting: &WaitingAsk) -> Duration {
         if self.plain || self.backends.is_empty() {
-            return waiting.ask.first_token_in;
+            return waiting.ask.first_token_due_in;
         }
         let best = self.live_backends().map(|backend| {
             let prefill = backend.model.prefill(waiting.ask.prompt_tokens);
@@ -151,8 +151,8 @@
         let (first, whole) = best
             .reduce(|a, b| (a.0.min(b.0), a.1.min(b.1)))
             .unwrap_or_default();
-        let first = waiting.ask.first_token_in.as_secs_f64() - first;
-        let whole = waiting.ask.whole_in.as_secs_f64() - whole;
+        let first = waiting.ask.first_token_due_in.as_secs_f64() - first;
+        let whole = waiting.ask.response_due_in.as_secs_f64() - whole;
         Duration::from_secs_f64(first.min(whole).max(0.0))
     }
 
--- a/crates/jaypin_core/src/scheduler/grants.rs
+++ b/crates/jaypin_core/src/scheduler/grants.rs
@@ -279,8 +279,8 @@
         }
         let answer = f64::from(waiting.answer_tokens) * model.token_gaps.gap(model.running + 1);
         let spent = round.now.saturating_duration_since(waiting.since);
-        let first_left = waiting.ask.first_token_in.saturating_sub(spent);
-        let whole_left = waiting.ask.whole_in.saturating_sub(spent);
+        let first_left = waiting.ask.first_token_due_in.saturating_sub(spent);
+        let whole_left = waiting.ask.response_due_in.saturating_sub(spent);
         if first_token > first_left.as_secs_f64() || first_token + answer > whole_left.as_secs_f64()
         {
             return None;
--- a/crates/jaypin_core/tests/claim_order.rs
+++ b/crates/jaypin_core/tests/claim_order.rs
@@ -46,8 +46,8 @@
     let any = 0..64_usize;
     let outcome = prop_oneof![
         Just(CallOutcome::Complete),
-        Just(CallOutcome::Lost),
-        Just(CallOutcome::Died),
+        Just(CallOutcome::ConnectionLost),
+        Just(CallOutcome::BackendCrashed),
         Just(CallOutcome::Failed),
     ];
     let step = prop_oneof![
@@ -183,7 +183,7 @@
             });
             self.apply(
                 at,
-                Event::Answered {
+                Event::KeyedCallAnswered {
                     id: id.clone(),
                     answer,
                 },
@@ -209,7 +209,7 @@
             }
             Step::Leave(n) if !self.called.is_empty() => {
                 let (at, id) = self.called[n % self.called.len()].clone();
-                self.apply(at, Event::CallerGone(id));
+                self.apply(at, Event::CallerDisconnected(id));
             }
             Step::End(..) | Step::Leave(_) => {}
             Step::Restart(at) => {
@@ -218,7 +218,7 @@
                 self.running.retain(|(host, _)| *host != at);
                 self.called.retain(|(host, _)| *host != at);
             }
-            Step::Accuse(at, of) => self.apply(at, Event::PeerLost(name(of))),
+            Step::Accuse(at, of) => self.apply(at, Event::PeerExited(name(of))),
             Step::Wait(at, ms) => {
                 self.now += Duration::from_millis(ms);
                 self.apply(at, Event::Tick);
--- a/crates/jaypin_core/tests/common/mod.rs
+++ b/crates/jaypin_core/tests/common/mod.rs
@@ -58,8 +58,8 @@
         account: "large".into(),
         prompt_tokens: 100,
         max_tokens: 20,
-        first_token_in: Duration::from_secs(first_token),
-        whole_in: Duration::from_secs(whole),
+        first_token_due_in: Duration::from_secs(first_token),
+        response_due_in: Duration::from_secs(whole),
         prefixes: Vec::new(),
     }
 }
--- a/crates/jaypin_core/tests/honest_refusals.rs
+++ b/crates/jaypin_core/tests/honest_refusals.rs
@@ -176,9 +176,9 @@
 fn a_quarantined_second_try_is_not_called_not_run() {
     let mut bed = Bed::new().ready();
     assert!(is_dispatched(&bed.arrive(Repeat::Never)));
-    let strike = Message::Strike {
+    let strike = Message::CrashCount {
         fingerprint: 5,
-        strikes: 2,
+        crash_count: 2,
     };
     bed.event(Event::Link {
         from: "host-1".into(),
--- a/crates/jaypin_core/tests/hostile_messages.rs
+++ b/crates/jaypin_core/tests/hostile_messages.rs
@@ -57,8 +57,8 @@
                 tier,
                 prompt_tokens,
                 max_tokens,
-                first_token_in,
-                whole_in,
+                first_token_due_in: first_token_in,
+                response_due_in: whole_in,
                 prefixes: vec![u64::from(prompt_tokens % 3)],
                 ..ask("", 0)
             },
@@ -119,7 +119,7 @@
         1 => (any::<u64>(), proptest::collection::vec(any::<u8>(), 0..70)).prop_map(
             |(incarnation, whole)| Message::Members {
                 entries: vec![("host-9".into(), Member::alive(incarnation))],
-                whole,
+                complete_buckets: whole,
             }
         ),
     ]
--- a/crates/jaypin_core/tests/key_table.rs
+++ b/crates/jaypin_core/tests/key_table.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use jaypin_core::{
-    ClaimSubject, ClaimVerdict, HostId, IdempotencyKey, KEY_HORIZON, KEY_PERIOD, KeyOutcome,
-    KeyTable, MAX_KEYS, MAX_KEYS_PER_ACCOUNT, MAX_STORED_ANSWER, MAX_STORED_BYTES, RequestId,
-    StoredAnswer,
+    ClaimSubject, ClaimVerdict, HostId, IdempotencyKey, KEY_PERIOD, KeyOutcome, KeyTable, MAX_KEYS,
+    MAX_KEYS_PER_ACCOUNT, MAX_STORED_ANSWER_BYTES, MAX_TOTAL_STORED_BYTES, RETAINED_KEY_PERIODS,
+    RequestId, StoredAnswer,
 };
 
 fn key(period: u64, unique: &str) -> IdempotencyKey {
@@ -156,7 +156,7 @@
     let (mut table, start, old) = (KeyTable::default(), Instant::now(), key(0, "a"));
     claim(&mut table, start, &old, "first");
     settle(&mut table, &old, "first", KeyOutcome::Answered(None));
-    let last = start + KEY_PERIOD * u32::try_from(KEY_HORIZON).expect("small");
+    let last = start + KEY_PERIOD * u32::try_from(RETAINED_KEY_PERIODS).expect("small");
     table.expire(last);
     assert_eq!(
         claim(&mut table, last, &old, "second"),
@@ -168,7 +168,7 @@
         claim(&mut table, later, &old, "third"),
         ClaimVerdict::Unknown
     );
-    let future = key(KEY_HORIZON + 2, "a");
+    let future = key(RETAINED_KEY_PERIODS + 2, "a");
     assert_eq!(
         claim(&mut table, later, &future, "fourth"),
         ClaimVerdict::Unknown
@@ -178,14 +178,14 @@
 #[test]
 fn memory_is_bounded() {
     let (mut table, now) = (KeyTable::default(), Instant::now());
-    let kept = MAX_STORED_BYTES / MAX_STORED_ANSWER;
+    let kept = MAX_TOTAL_STORED_BYTES / MAX_STORED_ANSWER_BYTES;
     for count in 0..MAX_KEYS {
         let key = key(0, &count.to_string());
         let account = format!("farm-{}", count / MAX_KEYS_PER_ACCOUNT);
         let verdict = claim_for(&mut table, now, &key, &account);
         assert_eq!(verdict, ClaimVerdict::Granted);
         if count <= kept {
-            let stored = Some(answer(MAX_STORED_ANSWER));
+            let stored = Some(answer(MAX_STORED_ANSWER_BYTES));
             settle(&mut table, &key, "first", KeyOutcome::Answered(stored));
         }
     }
@@ -197,7 +197,10 @@
         ClaimVerdict::Done(None)
     );
     let newest = claim_for(&mut table, now, &key(0, &kept.to_string()), "farm-0");
-    assert_eq!(newest, ClaimVerdict::Done(Some(answer(MAX_STORED_ANSWER))));
+    assert_eq!(
+        newest,
+        ClaimVerdict::Done(Some(answer(MAX_STORED_ANSWER_BYTES)))
+    );
     let later = now + Duration::from_hours(1);
     table.expire(later);
     let fresh = key(60, "more");
--- a/crates/jaypin_core/tests/membership.rs
+++ b/crates/jaypin_core/tests/membership.rs
@@ -103,7 +103,7 @@
 fn a_loss_is_known_everywhere_without_waiting_for_a_round() {
     let mut net = Net::new(13);
     net.silent.insert(Net::id(5));
-    net.event(&Net::id(0), Event::PeerLost(Net::id(5)));
+    net.event(&Net::id(0), Event::PeerExited(Net::id(5)));
     assert!(net.all_see("host-5", MemberStatus::Dead));
 }
 
@@ -112,7 +112,7 @@
 #[test]
 fn an_accused_host_refutes() {
     let mut net = Net::new(13);
-    net.event(&Net::id(0), Event::PeerSilent(Net::id(5)));
+    net.event(&Net::id(0), Event::PeerUnresponsive(Net::id(5)));
     assert!(net.all_see("host-5", MemberStatus::Alive));
 }
 
@@ -120,7 +120,7 @@
 fn a_suspect_that_says_nothing_is_dead_after_a_while() {
     let mut net = Net::new(6);
     net.silent.insert(Net::id(5));
-    net.event(&Net::id(0), Event::PeerSilent(Net::id(5)));
+    net.event(&Net::id(0), Event::PeerUnresponsive(Net::id(5)));
     assert!(net.all_see("host-5", MemberStatus::Suspect));
     net.run(Duration::from_secs(6));
     assert!(net.all_see("host-5", MemberStatus::Dead));
@@ -132,7 +132,7 @@
 fn a_frozen_host_comes_back_by_itself() {
     let mut net = Net::new(6);
     net.silent.insert(Net::id(5));
-    net.event(&Net::id(0), Event::PeerSilent(Net::id(5)));
+    net.event(&Net::id(0), Event::PeerUnresponsive(Net::id(5)));
     net.run(Duration::from_mins(1));
     net.silent.clear();
     net.event(&Net::id(5), Event::Tick);
@@ -154,8 +154,8 @@
 #[test]
 fn a_new_run_outweighs_what_was_said_of_the_former() {
     let mut net = Net::new(6);
-    net.event(&Net::id(0), Event::PeerLost(Net::id(5)));
-    let met = Event::PeerMet {
+    net.event(&Net::id(0), Event::PeerExited(Net::id(5)));
+    let met = Event::PeerConnected {
         host: Net::id(5),
         incarnation: 200,
     };
@@ -187,7 +187,7 @@
     net.silent.insert(watcher.clone());
     net.watching.remove(&watcher);
     let witness = usize::from(watcher == Net::id(0));
-    net.event(&Net::id(witness), Event::PeerLost(watcher));
+    net.event(&Net::id(witness), Event::PeerExited(watcher));
     assert_eq!(net.watching.len(), 2 * DOMAINS);
 }
 
--- a/crates/jaypin_core/tests/net/mod.rs
+++ b/crates/jaypin_core/tests/net/mod.rs
@@ -97,10 +97,10 @@
                         let from = to.clone();
                         inbox.push_back((peer, Event::Link { from, message }));
                     }
-                    Effect::Watch(true) => {
+                    Effect::WatchPlatform(true) => {
                         self.watching.insert(to.clone());
                     }
-                    Effect::Watch(false) => {
+                    Effect::WatchPlatform(false) => {
                         self.watching.remove(&to);
                     }
                     Effect::Dispatch { id, backend, .. } => {
--- a/crates/jaypin_core/tests/quarantine.rs
+++ b/crates/jaypin_core/tests/quarantine.rs
@@ -10,7 +10,7 @@
 fn lost(fingerprint: u64) -> Lost {
     Lost {
         fingerprint,
-        had_token: false,
+        had_first_token: false,
     }
 }
 
@@ -43,7 +43,7 @@
 fn who_had_a_token_is_not_suspected() {
     let mut quarantine = Quarantine::default();
     let served = Lost {
-        had_token: true,
+        had_first_token: true,
         ..lost(2)
     };
     let mut now = Instant::now();
--- a/crates/jaypin_core/tests/scheduler.rs
+++ b/crates/jaypin_core/tests/scheduler.rs
@@ -449,7 +449,7 @@
     let mut bed = Bed::new(1, 2);
     fill(&mut bed, 1);
     let mut question = ask("q", 1);
-    question.whole_in = Duration::from_millis(100);
+    question.response_due_in = Duration::from_millis(100);
     bed.ask(question);
     insta::assert_debug_snapshot!(bed.refusals());
 }
--- a/crates/jaypin_core/tests/succession.rs
+++ b/crates/jaypin_core/tests/succession.rs
@@ -118,7 +118,7 @@
     let (dead, witness) = (leader(&net, 0), witness(&net));
     let before = net.dispatched.len();
     net.silent.insert(dead.clone());
-    net.event(&witness, Event::PeerLost(dead.clone()));
+    net.event(&witness, Event::PeerExited(dead.clone()));
     net.run(Duration::from_millis(1_500));
     // What the dead host ran ended with it; all else counts.
     assert_eq!(running_elsewhere(&net, &dead), before);
@@ -138,7 +138,7 @@
     let mut net = saturated();
     let (frozen, witness) = (leader(&net, 0), witness(&net));
     net.silent.insert(frozen.clone());
-    net.event(&witness, Event::PeerSilent(frozen.clone()));
+    net.event(&witness, Event::PeerUnresponsive(frozen.clone()));
     net.run(Duration::from_secs(1));
     let before = net.dispatched.len();
     net.silent.clear();
@@ -161,7 +161,7 @@
     assert_eq!(net.dispatched.len(), 4);
     let (frozen, witness) = (leader(&net, 0), witness(&net));
     net.silent.insert(frozen.clone());
-    net.event(&witness, Event::PeerSilent(frozen.clone()));
+    net.event(&witness, Event::PeerUnresponsive(frozen.clone()));
     arrive(&mut net, 4..MANY);
     let before = net.dispatched.len();
     assert!(running_elsewhere(&net, &frozen) <= slots);
--- a/crates/jaypin_router/src/router/attempt.rs
+++ b/crates/jaypin_router/src/router/attempt.rs
@@ -134,7 +134,7 @@
         if outcome == AttemptOutcome::Died {
             let lost = Lost {
                 fingerprint: request.admitted.fingerprint,
-                had_token: request.state.first_event_at.is_some(),
+                had_first_token: request.state.first_event_at.is_some(),
             };
             self.quarantine
                 .record_lost_call(now, &request.state.backend, lost);
--- a/crates/jaypin_wire/src/explain/mod.rs
+++ b/crates/jaypin_wire/src/explain/mod.rs
@@ -237,8 +237,8 @@
 fn outcome_word(outcome: CallOutcome) -> &'static str {
     match outcome {
         CallOutcome::Complete => "complete",
-        CallOutcome::Lost => "lost",
-        CallOutcome::Died => "died",
+        CallOutcome::ConnectionLost => "lost",
+        CallOutcome::BackendCrashed => "died",
         CallOutcome::Failed => "failed",
         CallOutcome::Cancelled => "cancelled",
     }
--- a/crates/jaypin_wire/src/link.rs
+++ b/crates/jaypin_wire/src/link.rs
@@ -67,9 +67,9 @@
     Allow(WireShard, Arc<str>, f64, f64),
     /// See [`Message::InFlight`].
     InFlight(WireShard, Vec<WireInFlight>),
-    /// See [`Message::Died`]: backend server, fingerprint, whether a token had come.
+    /// See [`Message::BackendCrashed`]: backend server, fingerprint, whether a token had come.
     Died(Arc<str>, u64, bool),
-    /// See [`Message::Strike`].
+    /// See [`Message::CrashCount`].
     Strike(u64, u32),
     /// See [`Message::Claim`].
     Claim(Arc<str>, Arc<str>, WireSubject),
@@ -142,12 +142,12 @@
                 shard.into(),
                 running.into_iter().map(WireInFlight::from).collect(),
             ),
-            Message::Died { backend, lost } => {
-                Self::Died(backend, lost.fingerprint, lost.had_token)
+            Message::BackendCrashed { backend, lost } => {
+                Self::Died(backend, lost.fingerprint, lost.had_first_token)
             }
-            Message::Strike {
+            Message::CrashCount {
                 fingerprint,
-                strikes,
+                crash_count: strikes,
             } => Self::Strike(fingerprint, strikes),
             Message::Claim { key, id, subject } => Self::Claim(key, id, subject.into()),
             Message::Claimed { key, id, verdict } => Self::Claimed(key, id, verdict.into()),
@@ -161,9 +161,13 @@
             Message::RuleText { version, text } => Self::RuleText(version, text),
             Message::Hosts(list) => Self::Hosts(list.version, WireHostList::from(&list)),
             Message::Buckets(hashes) => Self::Buckets(hashes),
-            Message::Members { entries, whole } => {
-                Self::Members(entries.into_iter().map(WireMember::from).collect(), whole)
-            }
+            Message::Members {
+                entries,
+                complete_buckets,
+            } => Self::Members(
+                entries.into_iter().map(WireMember::from).collect(),
+                complete_buckets,
+            ),
         }
     }
 }
@@ -218,16 +222,16 @@
                 shard: shard.into(),
                 running: running.into_iter().map(InFlight::from).collect(),
             },
-            WireMessage::Died(backend, fingerprint, had_token) => Self::Died {
+            WireMessage::Died(backend, fingerprint, had_token) => Self::BackendCrashed {
                 backend,
                 lost: Lost {
                     fingerprint,
-                    had_token,
+                    had_first_token: had_token,
                 },
             },
-            WireMessage::Strike(fingerprint, strikes) => Self::Strike {
+            WireMessage::Strike(fingerprint, strikes) => Self::CrashCount {
                 fingerprint,
-                strikes,
+                crash_count: strikes,
             },
             WireMessage::Claim(key, id, subject) => Self::Claim {
                 key,
@@ -257,7 +261,7 @@
             WireMessage::Buckets(hashes) => Self::Buckets(hashes),
             WireMessage::Members(entries, whole) => Self::Members {
                 entries: entries.into_iter().map(<(HostId, Member)>::from).collect(),
-                whole,
+                complete_buckets: whole,
             },
         }
     }
--- a/crates/jaypin_wire/src/slots.rs
+++ b/crates/jaypin_wire/src/slots.rs
@@ -152,8 +152,8 @@
             account: ask.account,
             prompt_tokens: ask.prompt_tokens,
             max_tokens: ask.max_tokens,
-            first_token_in: ask.first_token_in.into(),
-            whole_in: ask.whole_in.into(),
+            first_token_in: ask.first_token_due_in.into(),
+            whole_in: ask.response_due_in.into(),
             prefixes: ask.prefixes,
         }
     }
@@ -169,8 +169,8 @@
             account: wire.account,
             prompt_tokens: wire.prompt_tokens,
             max_tokens: wire.max_tokens,
-            first_token_in: wire.first_token_in.into(),
-            whole_in: wire.whole_in.into(),
+            first_token_due_in: wire.first_token_in.into(),
+            response_due_in: wire.whole_in.into(),
             prefixes: wire.prefixes,
         }
     }
--- a/crates/jaypin_wire/tests/frames.rs
+++ b/crates/jaypin_wire/tests/frames.rs
@@ -30,8 +30,8 @@
                     account: "farm-yilan".into(),
                     prompt_tokens,
                     max_tokens,
-                    first_token_in: Duration::from_millis(first.into()),
-                    whole_in: Duration::from_millis(whole.into()),
+                    first_token_due_in: Duration::from_millis(first.into()),
+                    response_due_in: Duration::from_millis(whole.into()),
                     prefixes,
                 })
             },
