--- a/crates/jaypin/src/cli/audit.rs
+++ b/crates/jaypin/src/cli/audit.rs
@@ -53,7 +53,7 @@
 fn missing_digest(texts: &[String], digest: &str) -> Option<AuditFault> {
     let is_there = texts.iter().any(|text| digest_entry(text) == digest);
     (!is_there).then(|| AuditFault {
-        place: texts.len() as u64,
+        position: texts.len() as u64,
         message: format!("no entry has the expected digest {digest}"),
     })
 }
@@ -61,7 +61,7 @@
 fn missing_change(entries: &[AuditEntry], apply_id: &str) -> Option<AuditFault> {
     let is_there = entries.iter().any(|entry| entry.apply_id == apply_id);
     (!is_there).then(|| AuditFault {
-        place: entries.len() as u64,
+        position: entries.len() as u64,
         message: format!("the accepted change {apply_id} is not in the trail"),
     })
 }
--- a/crates/jaypin/src/cli/rules/who.rs
+++ b/crates/jaypin/src/cli/rules/who.rs
@@ -46,11 +46,11 @@
         let body = serde_json::json!({
             "line": line,
             "rule": rule.name,
-            "asked_by": rule.origin.asked_by,
+            "asked_by": rule.origin.requester,
         });
         return print_json(&body);
     }
-    println!("{}, asked by {}", rule.name, rule.origin.asked_by);
+    println!("{}, asked by {}", rule.name, rule.origin.requester);
     Ok(())
 }
 
--- a/crates/jaypin/src/decisions/mod.rs
+++ b/crates/jaypin/src/decisions/mod.rs
@@ -79,7 +79,7 @@
     AppliedRule {
         line,
         rule: found.as_ref().map_or(String::new(), |it| it.name.clone()),
-        asked_by: found.map(|it| it.origin.asked_by.clone()),
+        asked_by: found.map(|it| it.origin.requester.clone()),
     }
 }
 
--- a/crates/jaypin/src/frontend/mod.rs
+++ b/crates/jaypin/src/frontend/mod.rs
@@ -21,7 +21,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use jaypin_core::{Event, HostId, IdempotencyKey, Ran, RequestId};
-use jaypin_wire::{EntryAddress, EntryAnswer};
+use jaypin_wire::{EntryAddress, EntryBody};
 use socket2::{Domain, Socket, TcpKeepalive, Type};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, watch};
@@ -203,7 +203,7 @@
         format!("{}-{}-{count}", self.shared.host, self.shared.incarnation).into()
     }
 
-    fn entry(&self, snapshot: &Snapshot, req: &Request<Incoming>) -> EntryAnswer {
+    fn entry(&self, snapshot: &Snapshot, req: &Request<Incoming>) -> EntryBody {
         let caller = req
             .headers()
             .get("authorization")
@@ -221,7 +221,7 @@
                 address: host.address.clone(),
             })
             .collect();
-        EntryAnswer {
+        EntryBody {
             addresses,
             valid_for_s: entry::VALID_FOR.as_secs(),
             host: self.shared.host.to_string(),
--- a/crates/jaypin/src/frontend/read_request.rs
+++ b/crates/jaypin/src/frontend/read_request.rs
@@ -321,7 +321,7 @@
         repeat: Repeat::Idempotent,
         key: None,
         first_token_due_in: tier.first_token,
-        response_due_in: tier.whole,
+        response_due_in: tier.whole_response,
         rule_lines: vec![caller.rule_line, service.origin.line, tier.origin.line],
     }
 }
--- a/crates/jaypin/src/rules_change/parts.rs
+++ b/crates/jaypin/src/rules_change/parts.rs
@@ -26,7 +26,7 @@
     }
     let text = std::mem::take(&mut object.text);
     for piece in cut(&text) {
-        let part = RulesPart::of(piece);
+        let part = RulesPart::from_text(piece);
         let value = piece.to_owned();
         if client.get::<String>(&part.key())?.is_none() {
             put_settled(client, &part.key(), 0, &value, deadline, |_| true)?;
@@ -41,7 +41,7 @@
     for part in &object.parts {
         let found = client.get::<String>(&part.key())?;
         let (_, text) = found.ok_or_else(|| format!("{} is missing", part.key()))?;
-        if !part.is_of(&text) {
+        if !part.has_text(&text) {
             return Err(format!("{} holds another text", part.key()));
         }
         object.text.push_str(&text);
--- a/crates/jaypin/src/rules_change/store.rs
+++ b/crates/jaypin/src/rules_change/store.rs
@@ -3,7 +3,7 @@
 use std::thread;
 use std::time::Duration;
 
-use jaypin_wire::{Held, RulesChange, RulesObject};
+use jaypin_wire::{ChangeStatus, RulesChange, RulesObject};
 
 use super::parts::{read_parts, store_parts};
 use super::settle::{Deadline, Settled, put_settled};
@@ -96,10 +96,10 @@
         new: &NewRules,
         deadline: Deadline,
     ) -> Result<Applied, String> {
-        let mut object = before.changed(new.text.clone(), new.change.clone());
+        let mut object = before.with_change(new.text.clone(), new.change.clone());
         store_parts(self.client, &mut object, deadline)?;
         let id = &new.change.apply_id;
-        let is_ours = |found: &RulesObject| found.holds(id) != Held::Never;
+        let is_ours = |found: &RulesObject| found.change_status(id) != ChangeStatus::Missing;
         let expected = new.edited_from;
         let settled = put_settled(self.client, RULES, expected, &object, deadline, is_ours)?;
         Ok(match settled {
@@ -114,7 +114,9 @@
     /// Tells an accepted change that was replaced meanwhile from the newest one.
     fn in_force(&self, apply_id: &str, version: u64) -> Applied {
         match self.client.get::<RulesObject>(RULES) {
-            Ok(Some((newer, found))) if found.holds(apply_id) == Held::Earlier => {
+            Ok(Some((newer, found)))
+                if found.change_status(apply_id) == ChangeStatus::Superseded =>
+            {
                 Applied::Superseded(newer)
             }
             _ => Applied::Accepted(version),
--- a/crates/jaypin_bench/src/load/call.rs
+++ b/crates/jaypin_bench/src/load/call.rs
@@ -139,7 +139,7 @@
         let account = callers.mix.accounts[arrival.account].name;
         let client = Client::new(address, &format!("{account}-secret"));
         let call = send(callers, arrival, &entry, &client, tier);
-        match timeout(tier.whole + PATIENCE, call).await {
+        match timeout(tier.whole_response + PATIENCE, call).await {
             Ok(Ok(answer)) => return Ok(answer),
             // Nothing was sent, so another host may be tried.
             Ok(Err(error)) if error.is::<std::io::Error>() => {}
--- a/crates/jaypin_bench/src/load/outcome.rs
+++ b/crates/jaypin_bench/src/load/outcome.rs
@@ -121,7 +121,7 @@
 }
 
 fn in_time(answer: &Answer, tier: &TierRule) -> Verdict {
-    if answer.whole_after > tier.whole {
+    if answer.whole_after > tier.whole_response {
         Verdict::LateEnd
     } else {
         Verdict::Good
--- a/crates/jaypin_core/src/keys.rs
+++ b/crates/jaypin_core/src/keys.rs
@@ -137,7 +137,7 @@
 #[derive(Debug)]
 enum State {
     /// A request holds the claim.
-    Held { host: HostId, id: RequestId },
+    ChangeStatus { host: HostId, id: RequestId },
     /// Its holder can't be reached; only its own word may still settle it.
     Orphaned { id: RequestId },
     /// It was answered.
@@ -212,7 +212,7 @@
         let held_by_account = self.by_account.get(&subject.account).copied();
         let full = self.count >= MAX_KEYS || held_by_account >= Some(MAX_KEYS_PER_ACCOUNT);
         let period = self.periods.entry(key.period).or_default();
-        let held = State::Held {
+        let held = State::ChangeStatus {
             host: host.clone(),
             id: id.clone(),
         };
@@ -236,11 +236,13 @@
         }
         match &entry.state {
             // The holder asks again because it never got the first answer.
-            State::Held { id: holder, .. } | State::Orphaned { id: holder } if holder == id => {
+            State::ChangeStatus { id: holder, .. } | State::Orphaned { id: holder }
+                if holder == id =>
+            {
                 entry.state = held;
                 ClaimVerdict::Granted
             }
-            State::Held { .. } => ClaimVerdict::InFlight,
+            State::ChangeStatus { .. } => ClaimVerdict::InFlight,
             State::Orphaned { .. } | State::Unknown => ClaimVerdict::Unknown,
             State::Answered(answer) => ClaimVerdict::Done(answer.clone()),
         }
@@ -250,7 +252,7 @@
     #[must_use]
     pub fn holder(&self, key: &IdempotencyKey) -> Option<(&HostId, &RequestId)> {
         match &self.periods.get(&key.period)?.get(&key.unique)?.state {
-            State::Held { host, id } => Some((host, id)),
+            State::ChangeStatus { host, id } => Some((host, id)),
             _ => None,
         }
     }
@@ -265,7 +267,7 @@
         };
         let by_holder = matches!(
             &entry.state,
-            State::Held { id: holder, .. } | State::Orphaned { id: holder } if holder == id
+            State::ChangeStatus { id: holder, .. } | State::Orphaned { id: holder } if holder == id
         );
         if !by_holder {
             return;
@@ -298,7 +300,7 @@
     pub fn orphan(&mut self, lost: &HostId) {
         let entries = self.periods.values_mut().flat_map(BTreeMap::values_mut);
         for entry in entries {
-            if let State::Held { host, id } = &entry.state
+            if let State::ChangeStatus { host, id } = &entry.state
                 && host == lost
             {
                 entry.state = State::Orphaned { id: id.clone() };
--- a/crates/jaypin_core/src/reducer/mod.rs
+++ b/crates/jaypin_core/src/reducer/mod.rs
@@ -186,7 +186,7 @@
     /// Contents under suspicion, for operators.
     #[must_use]
     pub fn suspect_counts(&self) -> SuspectCounts {
-        self.quarantine.counts(self.rules.quarantine.strikes)
+        self.quarantine.counts(self.rules.quarantine.crash_limit)
     }
 
     /// The rules that [`Summary::rules_version`] names, or those read last while none are
--- a/crates/jaypin_core/src/reducer/poison.rs
+++ b/crates/jaypin_core/src/reducer/poison.rs
@@ -10,9 +10,12 @@
     /// The refusal of a request whose content is quarantined.
     pub(super) fn quarantined(&self, now: Instant, info: &RequestInfo) -> Option<Refusal> {
         let rule = &self.rules.quarantine;
-        let left =
-            self.quarantine
-                .remaining_quarantine(now, info.fingerprint, rule.strikes, rule.hold)?;
+        let left = self.quarantine.remaining_quarantine(
+            now,
+            info.fingerprint,
+            rule.crash_limit,
+            rule.duration,
+        )?;
         let refusal = Refusal::not_run(Reason::Quarantined).retry_after(left);
         Some(refusal.rule_line(rule.origin.line))
     }
@@ -35,7 +38,7 @@
 
     pub(super) fn poison_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let rule = &self.rules.quarantine;
-        let (limit, hold) = (rule.strikes.max(1), rule.hold);
+        let (limit, hold) = (rule.crash_limit.max(1), rule.duration);
         self.quarantine.expire(now, hold);
         for (fingerprint, strikes) in self.quarantine.evaluate_crashes(now, limit) {
             self.spread(fingerprint, strikes, fx);
--- a/crates/jaypin_rules/src/kinds.rs
+++ b/crates/jaypin_rules/src/kinds.rs
@@ -105,7 +105,7 @@
         rank: rank?,
         first_token: first_token?,
         gap: gap?,
-        whole: whole?,
+        whole_response: whole?,
         weight: weight?,
         reserve: reserve?,
         minimum_percent: minimum_percent?,
@@ -229,8 +229,8 @@
         fields.wrong("quarantine", 0, "a number of lost backend servers above 0");
     }
     Some(QuarantineRule {
-        strikes: strikes?,
-        hold: hold?,
+        crash_limit: strikes?,
+        duration: hold?,
         origin: line.origin.clone(),
     })
 }
--- a/crates/jaypin_rules/src/line.rs
+++ b/crates/jaypin_rules/src/line.rs
@@ -45,7 +45,7 @@
     };
     let origin = Origin {
         line: number,
-        asked_by,
+        requester: asked_by,
     };
     Some(RuleLine { origin, mapping })
 }
--- a/crates/jaypin_rules/src/redact.rs
+++ b/crates/jaypin_rules/src/redact.rs
@@ -34,6 +34,6 @@
 #[must_use]
 pub fn requester_of(line: &str) -> Option<String> {
     let line = read_line(1, line, &mut Vec::new())?;
-    let name = line.origin.asked_by;
+    let name = line.origin.requester;
     (!name.is_empty()).then_some(name)
 }
--- a/crates/jaypin_rules/src/rule.rs
+++ b/crates/jaypin_rules/src/rule.rs
@@ -10,7 +10,7 @@
     /// Line in the file, from 1.
     pub line: u32,
     /// The requester named in the comment behind the rule.
-    pub asked_by: String,
+    pub requester: String,
 }
 
 /// A tier of work.
@@ -25,7 +25,7 @@
     /// Longest acceptable time between two tokens.
     pub gap: Duration,
     /// Longest acceptable time from arrival to the end of the answer.
-    pub whole: Duration,
+    pub whole_response: Duration,
     /// Worth of one answered request, for goodput by tier.
     pub weight: f64,
     /// Running streams per shard that only this tier and higher ones may use.
@@ -134,9 +134,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineRule {
     /// Backend servers lost under one fingerprint before it is refused.
-    pub strikes: u32,
+    pub crash_limit: u32,
     /// How long it stays refused.
-    pub hold: Duration,
+    pub duration: Duration,
     /// Where the rule came from.
     pub origin: Origin,
 }
@@ -144,8 +144,8 @@
 impl Default for QuarantineRule {
     fn default() -> Self {
         Self {
-            strikes: 2,
-            hold: Duration::from_mins(10),
+            crash_limit: 2,
+            duration: Duration::from_mins(10),
             origin: Origin::default(),
         }
     }
--- a/crates/jaypin_rules/tests/parse.rs
+++ b/crates/jaypin_rules/tests/parse.rs
@@ -26,7 +26,7 @@
             fn $name() {
                 let text = format!("{BASE}{}\n", $line);
                 let found = match parse(&text) {
-                    Ok(rules) => rules.routes.last().map(|rule| rule.origin.asked_by.clone()),
+                    Ok(rules) => rules.routes.last().map(|rule| rule.origin.requester.clone()),
                     Err(mistakes) => mistakes.first().map(ToString::to_string),
                 };
                 assert_eq!(found.unwrap_or_default(), $expected);
@@ -66,7 +66,7 @@
         for (number, line) in (1..).zip(text.lines()) {
             let rule = rules.rule_at(number).expect("a rule");
             let (_, requester) = line.rsplit_once("# asked by: ").expect("a comment");
-            assert_eq!(rule.origin.asked_by, requester);
+            assert_eq!(rule.origin.requester, requester);
         }
     }
 }
--- a/crates/jaypin_wire/src/api.rs
+++ b/crates/jaypin_wire/src/api.rs
@@ -7,7 +7,7 @@
 
 /// Answer of `GET /v1/entry`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntryAnswer {
+pub struct EntryBody {
     /// Addresses to use, best first.
     pub addresses: Vec<EntryAddress>,
     /// How long the answer holds, in seconds.
--- a/crates/jaypin_wire/src/audit.rs
+++ b/crates/jaypin_wire/src/audit.rs
@@ -94,14 +94,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AuditFault {
     /// Place of the entry in the trail, from 1.
-    pub place: u64,
+    pub position: u64,
     /// What is wrong there.
     pub message: String,
 }
 
 impl fmt::Display for AuditFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "entry {}: {}", self.place, self.message)
+        write!(f, "entry {}: {}", self.position, self.message)
     }
 }
 
@@ -125,7 +125,12 @@
     for (place, text) in (1..).zip(entries) {
         match serde_json::from_str::<AuditEntry>(text) {
             Ok(entry) => {
-                let mut fault = |message: String| faults.push(AuditFault { place, message });
+                let mut fault = |message: String| {
+                    faults.push(AuditFault {
+                        position: place,
+                        message,
+                    })
+                };
                 if entry.number != place {
                     fault(format!("it carries the number {}", entry.number));
                 }
@@ -135,7 +140,7 @@
                 read.push(entry);
             }
             Err(error) => faults.push(AuditFault {
-                place,
+                position: place,
                 message: format!("it can't be read: {error}"),
             }),
         }
--- a/crates/jaypin_wire/src/lib.rs
+++ b/crates/jaypin_wire/src/lib.rs
@@ -17,7 +17,7 @@
 mod slots;
 
 pub use api::{
-    BackendState, EntryAddress, EntryAnswer, HostIdentity, HostState, RefusalBody, StatusBody,
+    BackendState, EntryAddress, EntryBody, HostIdentity, HostState, RefusalBody, StatusBody,
 };
 pub use audit::{
     AuditEntry, AuditFault, AuditHead, AuditKind, AuditSegment, EntryDigest, digest_entry,
@@ -29,5 +29,5 @@
 pub use host_list::{WireBackend, WireHost, WireHostList};
 pub use link::{Frame, Hello, LINK_VERSION, WireMessage};
 pub use member::{MemberBody, WireMember, WireStatus};
-pub use rules_object::{Held, RulesChange, RulesObject, RulesPart};
+pub use rules_object::{ChangeStatus, RulesChange, RulesObject, RulesPart};
 pub use shard_state::{ShardBackend, ShardState, TierWaiting};
--- a/crates/jaypin_wire/src/rules_object.rs
+++ b/crates/jaypin_wire/src/rules_object.rs
@@ -29,7 +29,7 @@
 impl RulesPart {
     /// Names the part that holds a text.
     #[must_use]
-    pub fn of(text: &str) -> Self {
+    pub fn from_text(text: &str) -> Self {
         Self {
             digest: hex::encode(Sha256::digest(text.as_bytes())),
         }
@@ -43,8 +43,8 @@
 
     /// Whether a text is this part's.
     #[must_use]
-    pub fn is_of(&self, text: &str) -> bool {
-        *self == Self::of(text)
+    pub fn has_text(&self, text: &str) -> bool {
+        *self == Self::from_text(text)
     }
 }
 
@@ -74,7 +74,7 @@
 impl RulesObject {
     /// Gives the object after a change.
     #[must_use]
-    pub fn changed(&self, text: String, change: RulesChange) -> Self {
+    pub fn with_change(&self, text: String, change: RulesChange) -> Self {
         let kept = self.changes.len().saturating_sub(KEPT_CHANGES - 1);
         let mut changes = self.changes[kept..].to_vec();
         changes.push(change);
@@ -87,22 +87,22 @@
 
     /// Whether the newest change is that of an apply, or an earlier one is.
     #[must_use]
-    pub fn holds(&self, apply_id: &str) -> Held {
+    pub fn change_status(&self, apply_id: &str) -> ChangeStatus {
         match self.changes.iter().rposition(|it| it.apply_id == apply_id) {
-            None => Held::Never,
-            Some(place) if place + 1 == self.changes.len() => Held::Newest,
-            Some(_) => Held::Earlier,
+            None => ChangeStatus::Missing,
+            Some(place) if place + 1 == self.changes.len() => ChangeStatus::Current,
+            Some(_) => ChangeStatus::Superseded,
         }
     }
 }
 
 /// Where the change of an apply stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Held {
+pub enum ChangeStatus {
     /// It is not among the last changes.
-    Never,
+    Missing,
     /// It was accepted, and another change followed.
-    Earlier,
+    Superseded,
     /// It is the version in force.
-    Newest,
+    Current,
 }
