--- a/crates/jaypin_core/src/reducer/calls.rs
+++ b/crates/jaypin_core/src/reducer/calls.rs
@@ -78,7 +78,7 @@
             return;
         };
         request.state.first_token_at = Some(now);
-        let after = now.duration_since(request.state.dispatched_at);
+        let after = now.duration_since(request.state.sent_at);
         record(
             &request.info,
             now.duration_since(request.arrived_at),
@@ -140,7 +140,7 @@
         record(&request.info, elapsed(&request, now), step, fx);
         let progress = SlotProgress::Finished {
             tokens,
-            after: now.duration_since(request.state.dispatched_at),
+            after: now.duration_since(request.state.sent_at),
             lost: matches!(
                 outcome,
                 CallOutcome::ConnectionLost | CallOutcome::BackendCrashed
--- a/crates/jaypin_core/src/reducer/messages.rs
+++ b/crates/jaypin_core/src/reducer/messages.rs
@@ -94,7 +94,7 @@
                 self.members(now, from, entries, &complete_buckets, fx);
             }
             Message::BackendCrashed { backend, lost } => {
-                self.quarantine.record_lost_call(now, &backend, lost)
+                self.quarantine.record_lost_call(now, &backend, lost);
             }
             Message::CrashCount {
                 fingerprint,
--- a/crates/jaypin_core/src/reducer/mod.rs
+++ b/crates/jaypin_core/src/reducer/mod.rs
@@ -231,7 +231,7 @@
             Event::PeerExited(host) => self.peer_lost(now, &host, fx),
             Event::PeerUnresponsive(host) => self.peer_silent(now, &host, fx),
             Event::PeerConnected { host, incarnation } => {
-                self.peer_met(now, &host, incarnation, fx)
+                self.peer_met(now, &host, incarnation, fx);
             }
             Event::Hosts(list) => self.hosts(now, list, fx),
             Event::Rules { version, rules } => self.rules(version, rules),
--- a/crates/jaypin_core/src/request.rs
+++ b/crates/jaypin_core/src/request.rs
@@ -94,7 +94,7 @@
     /// Number of the ask that got the slot.
     pub attempt: u32,
     /// When it was handed over.
-    pub dispatched_at: Instant,
+    pub sent_at: Instant,
     /// When the first token came.
     pub first_token_at: Option<Instant>,
     /// Whether a byte of it left this host.
@@ -148,7 +148,7 @@
         let state = Dispatched {
             slot: self.state.slot,
             attempt: self.state.attempt,
-            dispatched_at: at,
+            sent_at: at,
             first_token_at: None,
             sent: false,
         };
--- a/crates/jaypin_wire/src/audit.rs
+++ b/crates/jaypin_wire/src/audit.rs
@@ -129,7 +129,7 @@
                     faults.push(AuditFault {
                         position: place,
                         message,
-                    })
+                    });
                 };
                 if entry.number != place {
                     fault(format!("it carries the number {}", entry.number));
