--- a/crates/jaypin/src/metrics/mod.rs
+++ b/crates/jaypin/src/metrics/mod.rs
@@ -35,7 +35,7 @@
     let all = &*INSTRUMENTS;
     let word = match step {
         Step::Arrived { .. } => "arrived",
-        Step::SlotRequested { .. } => "asked",
+        Step::Asked { .. } => "asked",
         Step::Dispatched { .. } => "dispatched",
         Step::Claimed { .. } => "claimed",
         Step::NotReached => "not-reached",
--- a/crates/jaypin_core/src/record.rs
+++ b/crates/jaypin_core/src/record.rs
@@ -37,7 +37,7 @@
         verdict: &'static str,
     },
     /// A shard scheduler was asked for a slot.
-    SlotRequested {
+    Asked {
         /// The shard.
         shard: Shard,
         /// The host that leads it.
--- a/crates/jaypin_core/src/reducer/arrival.rs
+++ b/crates/jaypin_core/src/reducer/arrival.rs
@@ -213,7 +213,7 @@
             response_due_in: info.response_due_in.saturating_sub(spent),
             prefixes: info.prefixes.clone(),
         };
-        let step = Step::SlotRequested {
+        let step = Step::Asked {
             shard: state.shard.clone(),
             leader: state.leader.clone(),
             attempt: state.attempt,
--- a/crates/jaypin_core/tests/owner_choice.rs
+++ b/crates/jaypin_core/tests/owner_choice.rs
@@ -88,7 +88,7 @@
         });
         steps
             .filter_map(|step| match step {
-                Step::SlotRequested { shard, leader, .. } => Some((shard, leader)),
+                Step::Asked { shard, leader, .. } => Some((shard, leader)),
                 _ => None,
             })
             .collect()
--- a/crates/jaypin_wire/src/explain/mod.rs
+++ b/crates/jaypin_wire/src/explain/mod.rs
@@ -171,7 +171,7 @@
     fn from(step: &Step) -> Self {
         match step {
             Step::Arrived { .. } => Self::Arrived,
-            Step::SlotRequested {
+            Step::Asked {
                 shard,
                 leader,
                 attempt,
--- a/crates/jaypin_wire/tests/explain.rs
+++ b/crates/jaypin_wire/tests/explain.rs
@@ -15,7 +15,7 @@
 }
 
 fn asked() -> Step {
-    Step::SlotRequested {
+    Step::Asked {
         shard: Shard {
             service: "chat".into(),
             index: 0,
