--- a/crates/jaypin_router/src/account_arrivals.rs
+++ b/crates/jaypin_router/src/account_arrivals.rs
@@ -15,7 +15,7 @@
 /// One of fifteen hosts receives an account's request about once a second; four or five requests
 /// show to within a half how much of the account's use is urgent.
 const MEMORY: Duration = Duration::from_secs(4);
-/// Time for which an account's urgent requests are provided for, in units of its quota.
+/// Time for which an account's urgent requests are covered, in units of its quota.
 ///
 /// A quota that is nearly used up refills at its rate. If requests take units as soon as they are
 /// refilled, too few are left for an urgent request, which needs the units of several small ones.
--- a/crates/jaypin_router/src/backend.rs
+++ b/crates/jaypin_router/src/backend.rs
@@ -1,4 +1,4 @@
-//! One backend server: its record, the calls that run there, and what was learned from them.
+//! One backend server: its record, the calls that run there, and what was observed of them.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -76,7 +76,7 @@
     /// Load that the peers have there.
     peer_load: PeerLoad,
     calls: BTreeMap<RequestNumber, Call>,
-    /// Totals of what this host has learned in its run, which it reports to its peers.
+    /// Totals of what this host has observed in its run, which it reports to its peers.
     totals: BackendSamples,
     /// Mean time for which requests hold their slots; absent until one has ended.
     hold_time: Option<Duration>,
@@ -145,7 +145,7 @@
 }
 
 impl Backend {
-    /// Creates a backend server about which nothing has been learned.
+    /// Creates a backend server about which nothing has been observed.
     #[must_use]
     pub fn new(record: BackendRecord) -> Self {
         let key = crate::backend_key(&record.id);
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Returns the totals of what this host has learned about it.
+    /// Returns the totals of what this host has observed of it.
     #[must_use]
     pub fn samples(&self) -> BackendSamples {
         self.totals
@@ -207,8 +207,8 @@
     /// Returns whether new requests may be sent there.
     #[must_use]
     pub fn accepts_requests(&self, now: Instant) -> bool {
-        let has_turn = self.throttle.as_ref().is_none_or(|it| it.allows(now));
-        self.is_ready() && has_turn && !self.is_backing_off(now)
+        let may_send = self.throttle.as_ref().is_none_or(|it| it.allows(now));
+        self.is_ready() && may_send && !self.is_backing_off(now)
     }
 
     /// Returns whether it asked this host to back off and the time for that has not passed.
@@ -292,11 +292,11 @@
         match outcome {
             AttemptOutcome::Complete => {
                 let held = call.map_or(Duration::ZERO, |call| now - call.sent_at);
-                self.learn_hold_time(held);
+                self.record_hold_time(held);
                 self.totals.hold_seconds += held.as_secs_f64();
                 self.totals.good += 1;
                 self.cooldowns = 0;
-                self.learn_outcome(false, now);
+                self.record_outcome(false, now);
             }
             AttemptOutcome::Unreached | AttemptOutcome::Died | AttemptOutcome::Replaced => {
                 self.totals.bad += 1;
@@ -308,13 +308,13 @@
             | AttemptOutcome::Silent
             | AttemptOutcome::TimedOut => {
                 self.totals.bad += 1;
-                self.learn_outcome(true, now);
+                self.record_outcome(true, now);
             }
             AttemptOutcome::Abandoned | AttemptOutcome::Withheld => {}
         }
     }
 
-    /// Records what a peer learned.
+    /// Records what a peer observed.
     pub fn record_peer_samples(&mut self, samples: &BackendSamples, now: Instant) {
         if samples.tokens > 0.0 {
             self.prefill_rate.record(samples.tokens, samples.seconds);
@@ -325,13 +325,13 @@
         }
         if samples.good > 0 {
             let mean = samples.hold_seconds / f64::from(samples.good);
-            self.learn_hold_time(Duration::from_secs_f64(mean));
+            self.record_hold_time(Duration::from_secs_f64(mean));
         }
         for _ in 0..samples.good {
-            self.learn_outcome(false, now);
+            self.record_outcome(false, now);
         }
         for _ in 0..samples.bad {
-            self.learn_outcome(true, now);
+            self.record_outcome(true, now);
         }
     }
 
@@ -356,7 +356,7 @@
         self.throttle = None;
     }
 
-    /// Replaces the record by a newer one. A new run inherits nothing that was learned about the
+    /// Replaces the record by a newer one. A new run inherits nothing that was observed of the
     /// one before.
     pub fn update_record(&mut self, record: BackendRecord) {
         if record.started == self.record.started && record.address == self.record.address {
@@ -374,13 +374,13 @@
         self.cooldown_until = Some(now + cooldown.min(MAX_COOLDOWN));
     }
 
-    fn learn_hold_time(&mut self, held: Duration) {
+    fn record_hold_time(&mut self, held: Duration) {
         let mean = self.hold_time.unwrap_or(held);
-        let kept = mean.mul_f64(1.0 - HOLD_TIME_WEIGHT);
-        self.hold_time = Some(kept + held.mul_f64(HOLD_TIME_WEIGHT));
+        let old = mean.mul_f64(1.0 - HOLD_TIME_WEIGHT);
+        self.hold_time = Some(old + held.mul_f64(HOLD_TIME_WEIGHT));
     }
 
-    fn learn_outcome(&mut self, failed: bool, now: Instant) {
+    fn record_outcome(&mut self, failed: bool, now: Instant) {
         let outcome = if failed { 1.0 } else { 0.0 };
         self.failure_rate += FAILURE_WEIGHT * (outcome - self.failure_rate);
         if self.failure_rate > MAX_FAILURE_RATE {
--- a/crates/jaypin_router/src/event_rate.rs
+++ b/crates/jaypin_router/src/event_rate.rs
@@ -1,4 +1,4 @@
-//! Rate at which a backend server produces the events of a stream, learned from running streams.
+//! Rate at which a backend server produces the events of a stream, measured on running streams.
 //!
 //! Answers differ a hundredfold in length and engines fivefold in speed. The longest answers end
 //! in time on fast engines only; on a slow one they hold a slot until their caller gives up, and
--- a/crates/jaypin_router/src/peer_clock.rs
+++ b/crates/jaypin_router/src/peer_clock.rs
@@ -8,7 +8,7 @@
 /// delayed.
 const MIN_REPORTS: u32 = 6;
 
-/// The difference between a peer's clock and this host's, learned from its reports.
+/// The difference between a peer's clock and this host's, estimated from its reports.
 ///
 /// A proof, that is a time at which the configuration was known to be the newest, must not seem
 /// newer than it is because it was in transit for long. A report that waited in a queue, or in
--- a/crates/jaypin_router/src/peer_loads.rs
+++ b/crates/jaypin_router/src/peer_loads.rs
@@ -64,7 +64,7 @@
     pub changed: Vec<LoadChange>,
     /// Whether a slot became free.
     pub has_freed_slot: bool,
-    /// What was learned about backend servers.
+    /// New observations of backend servers.
     pub samples: Vec<BackendSamples>,
 }
 
@@ -105,7 +105,7 @@
             update_sum(&mut self.sums, before, Some(*load), change, &mut update);
         }
         for samples in &report.samples {
-            update.samples.extend(host.learn(*samples));
+            update.samples.extend(host.record_samples(*samples));
         }
         update
     }
@@ -156,10 +156,10 @@
 }
 
 impl HostLoads {
-    /// Returns what is new in totals. The first totals of a host that had run for long before its
-    /// first report arrived may be minutes old, so they are only the baseline of later
-    /// differences.
-    fn learn(&mut self, samples: BackendSamples) -> Option<BackendSamples> {
+    /// Records totals and returns what is new in them. The first totals of a host that had run
+    /// for long before its first report arrived may be minutes old, so they are only the baseline
+    /// of later differences.
+    fn record_samples(&mut self, samples: BackendSamples) -> Option<BackendSamples> {
         let before = self.samples.insert(samples.key, samples);
         let is_recent = self.is_known_from_start || samples.good + samples.bad <= MAX_FIRST_CALLS;
         let none = is_recent.then(|| BackendSamples::none(samples.key));
--- a/crates/jaypin_router/src/prefill_rate.rs
+++ b/crates/jaypin_router/src/prefill_rate.rs
@@ -1,4 +1,4 @@
-//! Rate at which a backend server reads prompts, learned from first events.
+//! Rate at which a backend server reads prompts, measured by first events.
 
 use std::time::Duration;
 
--- a/crates/jaypin_router/src/report.rs
+++ b/crates/jaypin_router/src/report.rs
@@ -11,7 +11,7 @@
     RolloutOrder, StoreEra, VersionOutcomes,
 };
 
-/// What one host has running and has learned.
+/// What one host has running and has observed.
 ///
 /// Each field is a state or a running total, never a difference, so a later report makes up for
 /// one that is lost.
@@ -28,7 +28,7 @@
     /// Load of the sender on backend servers, where it changed or was not reported for a while;
     /// for hosts that use the same backend servers.
     pub loads: Vec<BackendLoad>,
-    /// What it has learned recently about these backend servers, as totals of this run.
+    /// What it has observed recently of these backend servers, as totals of this run.
     pub samples: Vec<BackendSamples>,
     /// Quota units that accounts used, as totals of this run: all accounts in a whole report,
     /// otherwise those that used some.
@@ -117,7 +117,7 @@
     pub unread_tokens: u32,
 }
 
-/// What a host has learned about a backend server since its run began.
+/// What a host has observed of a backend server since its run began.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BackendSamples {
     /// Key of the backend server.
@@ -173,7 +173,7 @@
 }
 
 impl BackendSamples {
-    /// Returns the totals of a host that has learned nothing.
+    /// Returns the totals of a host that has observed nothing.
     #[must_use]
     pub fn none(key: BackendKey) -> Self {
         Self {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Returns what was learned since an earlier total.
+    /// Returns what was observed since an earlier total.
     #[must_use]
     pub fn since(&self, before: &Self) -> Self {
         Self {
--- a/crates/jaypin_router/src/request.rs
+++ b/crates/jaypin_router/src/request.rs
@@ -76,7 +76,7 @@
         matches!(self, Self::Complete | Self::Abandoned)
     }
 
-    /// Returns the outcome as one word.
+    /// Returns the name of the outcome.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/jaypin_router/src/reserved_slots.rs
+++ b/crates/jaypin_router/src/reserved_slots.rs
@@ -8,10 +8,10 @@
 
 use std::time::Duration;
 
-/// Time for which urgent arrivals are provided for: a host learns of a slot that another took or
-/// freed within some 10 ms, and rechecks within three turns of 10 ms.
+/// Time for which urgent arrivals are covered: a host learns of a slot that another took or
+/// freed within some 10 ms, and rechecks within three placement turns of 10 ms.
 const COVERED: Duration = Duration::from_millis(50);
-/// Standard deviations of the random number of arrivals that are provided for besides.
+/// Standard deviations of the random number of arrivals that are covered as well.
 const SPREAD: f64 = 1.0;
 
 /// Returns the number of slots to reserve, where `above_per_second` more urgent requests arrive
--- a/crates/jaypin_router/src/route_table.rs
+++ b/crates/jaypin_router/src/route_table.rs
@@ -28,7 +28,7 @@
 }
 
 impl Unrouted {
-    /// Returns the reason as one word.
+    /// Returns the name of the reason.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/jaypin_router/src/size.rs
+++ b/crates/jaypin_router/src/size.rs
@@ -38,13 +38,13 @@
         answer_tokens: u32,
     ) -> f64 {
         let size = f64::from(answer_tokens) + f64::from(prompt_tokens) / PROMPT_TOKENS_PER_STEP;
-        let of_service = learn(&mut self.of_service, service.clone(), size);
-        let of_rank = learn(&mut self.of_rank, (service.clone(), rank), size);
+        let of_service = update_mean(&mut self.of_service, service.clone(), size);
+        let of_rank = update_mean(&mut self.of_rank, (service.clone(), rank), size);
         size / of_service.max(of_rank).max(1.0)
     }
 }
 
-fn learn<K: std::hash::Hash + Eq>(means: &mut HashMap<K, f64>, key: K, size: f64) -> f64 {
+fn update_mean<K: std::hash::Hash + Eq>(means: &mut HashMap<K, f64>, key: K, size: f64) -> f64 {
     let mean = means.entry(key).or_insert(size);
     *mean += MEAN_WEIGHT * (size - *mean);
     *mean
--- a/crates/jaypin_router/src/throttle.rs
+++ b/crates/jaypin_router/src/throttle.rs
@@ -56,10 +56,10 @@
 /// Returns the pause between two requests of the host at a position in the order of hosts;
 /// nothing if it has no part of the rate.
 #[must_use]
-pub fn pause_at(place: usize, hosts: usize, rate: f64) -> Option<Duration> {
+pub fn pause_at(position: usize, hosts: usize, rate: f64) -> Option<Duration> {
     let rate = rate.max(MIN_RATE);
     let most = u32::try_from(hosts).unwrap_or(u32::MAX).max(1);
     let senders = rate.floor().clamp(1.0, f64::from(most));
-    let place = f64::from(u32::try_from(place).unwrap_or(u32::MAX));
-    (place < senders).then(|| Duration::from_secs_f64(senders / rate))
+    let position = f64::from(u32::try_from(position).unwrap_or(u32::MAX));
+    (position < senders).then(|| Duration::from_secs_f64(senders / rate))
 }
