--- a/crates/jaypin_core/src/claims.rs
+++ b/crates/jaypin_core/src/claims.rs
@@ -18,7 +18,7 @@
 
 /// An outcome that the key's owner has not confirmed.
 #[derive(Debug)]
-pub struct Unsettled {
+pub struct UnsettledOutcome {
     /// The claim.
     pub claim: HeldClaim,
     /// What became of the call.
@@ -37,7 +37,7 @@
     /// Claims of requests that wait for a slot or run.
     pub held: BTreeMap<RequestId, HeldClaim>,
     /// Outcomes on their way.
-    pub unsettled: BTreeMap<RequestId, Unsettled>,
+    pub unsettled: BTreeMap<RequestId, UnsettledOutcome>,
 }
 
 impl Claims {
--- a/crates/jaypin_core/src/keys.rs
+++ b/crates/jaypin_core/src/keys.rs
@@ -23,7 +23,7 @@
 /// Bytes of answers kept for replay, over all keys; older ones go first.
 pub const MAX_TOTAL_STORED_BYTES: usize = 8 * 1024 * 1024;
 /// Longest part of a key that the caller chooses, in bytes.
-const MAX_UNIQUE: usize = 64;
+const MAX_UNIQUE_BYTES: usize = 64;
 
 /// A parsed idempotency key: `<host>-<incarnation>.<period>-<unique>`.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -47,7 +47,7 @@
         let (period, unique) = own.split_once('-')?;
         let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
         let well_formed = !host.is_empty()
-            && (1..=MAX_UNIQUE).contains(&unique.len())
+            && (1..=MAX_UNIQUE_BYTES).contains(&unique.len())
             && unique.bytes().all(allowed);
         well_formed.then_some(())?;
         Some(Self {
@@ -183,7 +183,7 @@
             }
             for entry in first.remove().into_values() {
                 self.count -= 1;
-                forget_one(&mut self.by_account, &entry.subject.account);
+                decrement_account_count(&mut self.by_account, &entry.subject.account);
             }
         }
         while self.answers.front().is_some_and(|(p, ..)| *p < oldest) {
@@ -274,7 +274,7 @@
         }
         match outcome {
             KeyOutcome::NotRun => {
-                forget_one(&mut self.by_account, &entry.subject.account);
+                decrement_account_count(&mut self.by_account, &entry.subject.account);
                 period.remove(&key.unique);
                 self.count -= 1;
             }
@@ -325,7 +325,7 @@
     }
 }
 
-fn forget_one(by_account: &mut BTreeMap<AccountId, usize>, account: &AccountId) {
+fn decrement_account_count(by_account: &mut BTreeMap<AccountId, usize>, account: &AccountId) {
     let Some(count) = by_account.get_mut(account) else {
         return;
     };
--- a/crates/jaypin_core/src/limit_keeper.rs
+++ b/crates/jaypin_core/src/limit_keeper.rs
@@ -8,38 +8,38 @@
 use crate::{AccountId, Allowance, Shard};
 
 /// Time over which use is averaged.
-const MEMORY: Duration = Duration::from_secs(3);
+const AVERAGING_TIME: Duration = Duration::from_secs(3);
 /// Time after which a shard that told nothing has no part any more.
-const FORGOTTEN: Duration = Duration::from_secs(10);
+const USAGE_EXPIRY: Duration = Duration::from_secs(10);
 
 /// What this host keeps of the accounts whose limits it splits; only active ones.
 #[derive(Debug, Default)]
 pub struct LimitKeeper {
-    accounts: HashMap<AccountId, BTreeMap<Shard, Use>>,
+    accounts: HashMap<AccountId, BTreeMap<Shard, ShardUsage>>,
 }
 
 /// What a shard told.
 #[derive(Debug, Clone, Copy)]
-struct Use {
+struct ShardUsage {
     tokens: f64,
     at_once: f64,
     at: Instant,
 }
 
-impl Use {
+impl ShardUsage {
     fn tokens_at(self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at).as_secs_f64();
-        self.tokens * (-age / MEMORY.as_secs_f64()).exp()
+        self.tokens * (-age / AVERAGING_TIME.as_secs_f64()).exp()
     }
 
-    fn is_forgotten(self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) >= FORGOTTEN
+    fn is_expired(self, now: Instant) -> bool {
+        now.saturating_duration_since(self.at) >= USAGE_EXPIRY
     }
 }
 
 impl LimitKeeper {
     /// Takes a shard's use of an account; gives what the shard may use of the limits.
-    pub fn note(
+    pub fn record_usage(
         &mut self,
         rule: &LimitRule,
         shard: &Shard,
@@ -49,40 +49,40 @@
     ) -> Allowance {
         let account = AccountId::from(rule.account.as_str());
         let shards = self.accounts.entry(account).or_default();
-        shards.retain(|_, other| !other.is_forgotten(now));
+        shards.retain(|_, other| !other.is_expired(now));
         let before = shards.get(shard).map_or(0.0, |old| old.tokens_at(now));
-        let own = Use {
+        let own = ShardUsage {
             tokens: before + tokens,
             at_once: f64::from(at_once),
             at: now,
         };
         shards.insert(shard.clone(), own);
         let count = f64::from(u32::try_from(shards.len()).unwrap_or(u32::MAX));
-        let seconds = MEMORY.as_secs_f64();
+        let seconds = AVERAGING_TIME.as_secs_f64();
         let tokens: f64 = shards.values().map(|other| other.tokens_at(now)).sum();
         let at_once: f64 = shards.values().map(|other| other.at_once).sum();
         let all = Allowance::all_of(rule);
         Allowance {
-            tokens_per_second: split(
+            tokens_per_second: shard_limit(
                 all.tokens_per_second,
                 own.tokens / seconds,
                 tokens / seconds,
                 count,
             ),
-            at_once: split(all.at_once, own.at_once, at_once, count),
+            at_once: shard_limit(all.at_once, own.at_once, at_once, count),
         }
     }
 
     /// Drops accounts that no shard uses any more.
-    pub fn forget_idle(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         self.accounts
-            .retain(|_, shards| shards.values().any(|other| !other.is_forgotten(now)));
+            .retain(|_, shards| shards.values().any(|other| !other.is_expired(now)));
     }
 }
 
 /// A shard's part of a limit: its use and an equal part of what is left, or, beyond the
 /// limit, its proportion.
-fn split(limit: f64, own: f64, all: f64, count: f64) -> f64 {
+fn shard_limit(limit: f64, own: f64, all: f64, count: f64) -> f64 {
     if all <= limit {
         own + (limit - all) / count
     } else {
--- a/crates/jaypin_core/src/member.rs
+++ b/crates/jaypin_core/src/member.rs
@@ -7,7 +7,7 @@
 use crate::{HostId, Incarnation};
 
 /// Buckets that the table is compared by; differing ones are exchanged whole.
-pub const BUCKETS: usize = 16;
+pub const BUCKET_COUNT: usize = 16;
 
 /// What is believed of a host; a later one outweighs an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -66,7 +66,7 @@
 
     /// Whether a peer believes it to be gone.
     #[must_use]
-    pub fn is_accused(&self) -> bool {
+    pub fn is_suspected(&self) -> bool {
         self.status >= MemberStatus::Suspect
     }
 
@@ -81,17 +81,17 @@
 #[derive(Debug, Clone, Default)]
 pub struct MemberTable {
     entries: BTreeMap<HostId, Member>,
-    bucket_hashes: [u64; BUCKETS],
+    bucket_hashes: [u64; BUCKET_COUNT],
 }
 
 impl MemberTable {
     /// Takes an entry; says whether it is new or newer.
-    pub fn take(&mut self, host: &HostId, member: Member) -> bool {
+    pub fn apply(&mut self, host: &HostId, member: Member) -> bool {
         let known = self.entries.get(host);
         if known.is_some_and(|known| *known >= member) {
             return false;
         }
-        let bucket = bucket_of(host);
+        let bucket = bucket_index(host);
         self.bucket_hashes[bucket] ^= member.hash(host);
         if let Some(old) = self.entries.insert(host.clone(), member) {
             self.bucket_hashes[bucket] ^= old.hash(host);
@@ -116,7 +116,7 @@
         self.entries.retain(|host, member| {
             let kept = keep(host, member);
             if !kept {
-                hashes[bucket_of(host)] ^= member.hash(host);
+                hashes[bucket_index(host)] ^= member.hash(host);
             }
             kept
         });
@@ -124,7 +124,7 @@
 
     /// Hashes of the buckets; equal tables have equal ones.
     #[must_use]
-    pub fn bucket_hashes(&self) -> [u64; BUCKETS] {
+    pub fn bucket_hashes(&self) -> [u64; BUCKET_COUNT] {
         self.bucket_hashes
     }
 
@@ -150,10 +150,10 @@
 /// Bucket of a host in the table.
 #[must_use]
 pub fn bucket_number(host: &str) -> u8 {
-    u8::try_from(bucket_of(host)).unwrap_or_default()
+    u8::try_from(bucket_index(host)).unwrap_or_default()
 }
 
-fn bucket_of(host: &str) -> usize {
+fn bucket_index(host: &str) -> usize {
     let hash = xxh3_64_with_seed(host.as_bytes(), 0);
-    usize::try_from(hash % BUCKETS as u64).unwrap_or_default()
+    usize::try_from(hash % BUCKET_COUNT as u64).unwrap_or_default()
 }
--- a/crates/jaypin_core/src/membership.rs
+++ b/crates/jaypin_core/src/membership.rs
@@ -24,7 +24,7 @@
     shards: ShardMap,
     table: MemberTable,
     leaders: BTreeMap<Shard, HostId>,
-    places: HashMap<BackendId, usize>,
+    backend_indices: HashMap<BackendId, usize>,
     epoch: u64,
     reported_leaving: BTreeSet<BackendId>,
 }
@@ -38,7 +38,7 @@
             return false;
         }
         self.shards = ShardMap::build(&list.backends, cfg.shard_size);
-        self.places = list
+        self.backend_indices = list
             .backends
             .iter()
             .enumerate()
@@ -48,17 +48,17 @@
         let listed: BTreeSet<&HostId> = self.list.hosts.iter().map(|host| &host.id).collect();
         self.table
             .retain(|host, member| member.status < MemberStatus::Dead || listed.contains(host));
-        self.changed();
+        self.recompute();
         true
     }
 
     /// Takes what is believed of a host; says whether it is news.
-    pub fn take(&mut self, host: &HostId, member: Member) -> bool {
-        let news = self.table.take(host, member);
-        if news {
-            self.changed();
+    pub fn apply(&mut self, host: &HostId, member: Member) -> bool {
+        let changed = self.table.apply(host, member);
+        if changed {
+            self.recompute();
         }
-        news
+        changed
     }
 
     /// Takes what a backend server says of itself; says whether it is news.
@@ -66,7 +66,7 @@
     /// Guards against a lagging host list, which goes on naming a leaving server as
     /// live and would bring new work to it: the server's own word stays until the
     /// server takes it back.
-    pub fn report(&mut self, backend: &BackendId, leaving: bool) -> bool {
+    pub fn set_reported_leaving(&mut self, backend: &BackendId, leaving: bool) -> bool {
         if leaving {
             self.reported_leaving.insert(backend.clone())
         } else {
@@ -75,7 +75,7 @@
     }
 
     /// Derives what is looked up for each request, once a change.
-    fn changed(&mut self) {
+    fn recompute(&mut self) {
         self.epoch += 1;
         let live: Vec<HostId> = self.live_hosts().map(|host| host.id.clone()).collect();
         self.leaders = self
@@ -99,7 +99,7 @@
 
     /// Whether a host list was ever read.
     #[must_use]
-    pub fn is_known(&self) -> bool {
+    pub fn has_host_list(&self) -> bool {
         self.list.version > 0
     }
 
@@ -134,7 +134,7 @@
 
     /// Where a host takes links.
     #[must_use]
-    pub fn link_of(&self, host: &str) -> Option<&str> {
+    pub fn link_address(&self, host: &str) -> Option<&str> {
         let record = self.list.hosts.iter().find(|record| &*record.id == host)?;
         Some(&record.link)
     }
@@ -195,7 +195,9 @@
     /// Finds a backend server.
     #[must_use]
     pub fn backend(&self, id: &str) -> Option<&BackendRecord> {
-        self.places.get(id).map(|place| &self.list.backends[*place])
+        self.backend_indices
+            .get(id)
+            .map(|place| &self.list.backends[*place])
     }
 
     /// A shard's backend servers, leaving ones marked whoever said so.
--- a/crates/jaypin_core/src/partners.rs
+++ b/crates/jaypin_core/src/partners.rs
@@ -4,7 +4,7 @@
 use crate::{HostId, HostRecord};
 
 /// Keys of the two orders that hosts stand in.
-const RINGS: [&str; 2] = ["first ring", "second ring"];
+const RING_KEYS: [&str; 2] = ["first ring", "second ring"];
 
 /// The partners of a host among the hosts that are not gone: four, or fewer in a small
 /// fleet; a fifth when all four stand in the host's own failure domain.
@@ -19,8 +19,8 @@
         return Vec::new();
     };
     let mut chosen: Vec<&HostRecord> = Vec::new();
-    for ring in RINGS {
-        let after = following(ring, record, hosts);
+    for ring in RING_KEYS {
+        let after = ring_order(ring, record, hosts);
         for neighbour in [after.first(), after.last()].into_iter().flatten() {
             if !chosen.iter().any(|other| other.id == neighbour.id) {
                 chosen.push(neighbour);
@@ -29,7 +29,7 @@
     }
     let is_far = |host: &&HostRecord| host.failure_domain != record.failure_domain;
     if !chosen.iter().any(is_far) {
-        let after = following(RINGS[0], record, hosts);
+        let after = ring_order(RING_KEYS[0], record, hosts);
         chosen.extend(after.into_iter().find(is_far));
     }
     chosen.into_iter().map(|host| host.id.clone()).collect()
@@ -37,7 +37,7 @@
 
 /// The other hosts in the order of a ring, from the one behind `own` round to the one
 /// before it.
-fn following<'a>(ring: &str, own: &HostRecord, hosts: &[&'a HostRecord]) -> Vec<&'a HostRecord> {
+fn ring_order<'a>(ring: &str, own: &HostRecord, hosts: &[&'a HostRecord]) -> Vec<&'a HostRecord> {
     let place = |host: &HostRecord| (score(ring, &host.id), host.id.clone());
     let from = place(own);
     let mut others: Vec<&HostRecord> = hosts
--- a/crates/jaypin_core/src/reducer/arrival.rs
+++ b/crates/jaypin_core/src/reducer/arrival.rs
@@ -14,21 +14,21 @@
 
 /// Longer wait than elsewhere, at least, for which a shard that may hold the prefix is
 /// still the better one.
-const WORTH_OF_AFFINITY: Duration = Duration::from_millis(100);
+const MIN_AFFINITY_WAIT: Duration = Duration::from_millis(100);
 /// The same as a part of the time to the first token: at full load every shard has
 /// deferrable work waiting, and it would go to and fro.
-const AFFINITY_PART: u32 = 8;
+const AFFINITY_WAIT_DIVISOR: u32 = 8;
 /// Shards of a service that are weighed for a request.
-const SHARDS_WEIGHED: usize = 8;
+const MAX_CANDIDATE_SHARDS: usize = 8;
 /// Shards that may refuse a request for want of capacity before that is final.
-const MOST_REFUSALS: usize = 2;
+const MAX_CAPACITY_REFUSALS: usize = 2;
 
 impl Reducer {
     pub(super) fn arrived(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
         self.record_arrival(&info, fx);
         match self.not_serving() {
             Some(reason) if reason == Reason::NotReady || !self.may_claim(now) => {
-                let refusal = unasked_refusal(&info, reason).retry_after(DEFAULT_RETRY_AFTER);
+                let refusal = unclaimed_refusal(&info, reason).retry_after(DEFAULT_RETRY_AFTER);
                 return self.refuse(&info, Duration::ZERO, refusal, fx);
             }
             Some(reason) if info.repeat != Repeat::Never => {
@@ -39,14 +39,14 @@
             // of it ran: see `claim_answered`.
             Some(_) | None => {}
         }
-        if !self.must_claim(now, &info, fx) {
-            self.place(now, info, fx);
+        if !self.start_claim(now, &info, fx) {
+            self.schedule(now, info, fx);
         }
     }
 
     /// Why this host takes no new work, if it takes none.
     pub(super) fn not_serving(&self) -> Option<Reason> {
-        if self.rules_version == 0 || !self.membership.is_known() || !self.gossip.caught_up {
+        if self.rules_version == 0 || !self.membership.has_host_list() || !self.gossip.caught_up {
             Some(Reason::NotReady)
         } else if self.draining {
             Some(Reason::Draining)
@@ -57,17 +57,22 @@
 
     /// Finds a slot for a request that may run, unless it is quarantined. A call that may
     /// not be repeated holds its claim by now, so "not run" is true of its key too.
-    pub(super) fn place(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
-        if let Some(refusal) = self.quarantined(now, &info) {
+    pub(super) fn schedule(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
+        if let Some(refusal) = self.quarantine_refusal(now, &info) {
             return self.refuse(&info, Duration::ZERO, refusal, fx);
         }
         match self.cfg.policy {
-            Policy::Grants | Policy::Local => self.ask_first(now, info, fx),
-            Policy::Baseline => self.choose_alone(now, info, fx),
+            Policy::Grants | Policy::Local => self.request_slot(now, info, fx),
+            Policy::Baseline => self.dispatch_without_grant(now, info, fx),
         }
     }
 
-    pub(super) fn choose_alone(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
+    pub(super) fn dispatch_without_grant(
+        &mut self,
+        now: Instant,
+        info: RequestInfo,
+        fx: &mut Vec<Effect>,
+    ) {
         let backends = self.membership.list().backends.iter();
         let of_service = backends.filter(|record| record.service == info.service);
         let Some(record) = self.baseline.pick(of_service, &mut self.rng) else {
@@ -82,7 +87,7 @@
         self.dispatch(now, request, Vec::new(), fx);
     }
 
-    pub(super) fn ask_first(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
+    pub(super) fn request_slot(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
         let Some((shard, leader)) = self.choose_shard(now, &info, &[]) else {
             let refusal = Refusal::not_run(Reason::NoBackend).retry_after(DEFAULT_RETRY_AFTER);
             return self.refuse(&info, Duration::ZERO, refusal, fx);
@@ -123,13 +128,13 @@
             .map(|shard| (score_index(key, shard.index), shard))
             .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        ranked.truncate(SHARDS_WEIGHED);
+        ranked.truncate(MAX_CANDIDATE_SHARDS);
         let wait = |shard: &Shard| self.shard_hints.wait(shard, info.tier, now);
         let mut shards = ranked.iter().map(|(_, shard)| *shard);
         // All hosts walk the same order, so a prefix that outgrows one shard is held by
         // few others.
         let least = shards.clone().map(wait).min()?;
-        let worth = WORTH_OF_AFFINITY.max(info.first_token_due_in / AFFINITY_PART);
+        let worth = MIN_AFFINITY_WAIT.max(info.first_token_due_in / AFFINITY_WAIT_DIVISOR);
         let shard = shards.find(|shard| wait(shard) <= least + worth)?;
         let leader = self.leader(shard)?.clone();
         Some((shard.clone(), leader))
@@ -137,7 +142,7 @@
 
     /// Asks another shard of the service once the first has no capacity: its lower
     /// tiers may have what this request lacks. Says whether it asked.
-    pub(super) fn ask_elsewhere(
+    pub(super) fn request_slot_elsewhere(
         &mut self,
         now: Instant,
         id: &RequestId,
@@ -149,7 +154,7 @@
         };
         let refused_by = &mut request.state.refused_by;
         let for_capacity = matches!(refusal.reason, Reason::Shed | Reason::TooLate);
-        if !for_capacity || refused_by.len() + 1 >= MOST_REFUSALS {
+        if !for_capacity || refused_by.len() + 1 >= MAX_CAPACITY_REFUSALS {
             return false;
         }
         refused_by.push(request.state.shard.clone());
@@ -159,11 +164,16 @@
         if is_late || others.count() == 0 {
             return false;
         }
-        self.ask_again(now, id, fx);
+        self.request_slot_again(now, id, fx);
         true
     }
 
-    pub(super) fn ask_again(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
+    pub(super) fn request_slot_again(
+        &mut self,
+        now: Instant,
+        id: &RequestId,
+        fx: &mut Vec<Effect>,
+    ) {
         let Some(mut request) = self.owner.waiting.remove(id) else {
             return;
         };
@@ -232,7 +242,7 @@
 /// Guards against a "not run" for a key that ran: a call that may not be repeated may be
 /// the second try of one that another host dispatched, and a host that does not
 /// ask the key's owner does not know.
-fn unasked_refusal(info: &RequestInfo, reason: Reason) -> Refusal {
+fn unclaimed_refusal(info: &RequestInfo, reason: Reason) -> Refusal {
     match info.repeat {
         Repeat::Never => Refusal::after_dispatch(reason, Ran::Unknown),
         Repeat::Idempotent => Refusal::not_run(reason),
--- a/crates/jaypin_core/src/reducer/calls.rs
+++ b/crates/jaypin_core/src/reducer/calls.rs
@@ -4,7 +4,7 @@
 
 use jaypin_rules::Repeat;
 
-use super::{DEFAULT_RETRY_AFTER, Reducer, elapsed, record, slot_message};
+use super::{DEFAULT_RETRY_AFTER, Reducer, elapsed, record, slot_progress_message};
 use crate::request::{Dispatched, Granted, Request, Waiting};
 use crate::{
     CallOutcome, CallProgress, Candidate, Effect, KeyOutcome, Message, Ran, Reason, Refusal,
@@ -12,7 +12,7 @@
 };
 
 /// Pause before a request whose backend server refused the connection asks again.
-const REASK_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Reducer {
     pub(super) fn dispatch(
@@ -31,7 +31,7 @@
             let refusal = Refusal::not_run(Reason::NoBackend).retry_after(DEFAULT_RETRY_AFTER);
             return self.refuse(&request.info, elapsed(&request, now), refusal, fx);
         };
-        if let Some(refusal) = self.quarantined(now, &request.info) {
+        if let Some(refusal) = self.quarantine_refusal(now, &request.info) {
             // It became so while the request waited.
             self.return_slot(&request, fx);
             return self.refuse(&request.info, elapsed(&request, now), refusal, fx);
@@ -86,7 +86,7 @@
             fx,
         );
         let progress = SlotProgress::FirstToken { after };
-        if let Some((leader, message)) = slot_message(request, progress) {
+        if let Some((leader, message)) = slot_progress_message(request, progress) {
             self.send(&leader, message, fx);
         }
     }
@@ -97,12 +97,12 @@
         let Some(request) = self.owner.dispatched.remove(id) else {
             return;
         };
-        if let Some((leader, message)) = slot_message(&request, SlotProgress::NotReached) {
+        if let Some((leader, message)) = slot_progress_message(&request, SlotProgress::NotReached) {
             self.send(&leader, message, fx);
         }
         // The pause keeps a request from turning in circles while its shard scheduler
         // learns that the backend server is gone; the first token's deadline ends it.
-        let overdue_at = now + REASK_PAUSE;
+        let overdue_at = now + RETRY_DELAY;
         let ask_at = overdue_at.checked_sub(self.cfg.ask_timeout).unwrap_or(now);
         match request.requeue(ask_at) {
             Ok(request) => {
@@ -146,11 +146,11 @@
                 CallOutcome::ConnectionLost | CallOutcome::BackendCrashed
             ),
         };
-        if let Some((leader, message)) = slot_message(&request, progress) {
+        if let Some((leader, message)) = slot_progress_message(&request, progress) {
             self.send(&leader, message, fx);
         }
         if outcome == CallOutcome::BackendCrashed {
-            self.tell_death(&request, fx);
+            self.report_crash(&request, fx);
         }
         let refusal = match outcome {
             CallOutcome::Complete | CallOutcome::Cancelled => {
@@ -166,12 +166,12 @@
     }
 
     pub(super) fn return_slot(&mut self, request: &Request<Dispatched>, fx: &mut Vec<Effect>) {
-        if let Some((leader, message)) = slot_message(request, SlotProgress::Returned) {
+        if let Some((leader, message)) = slot_progress_message(request, SlotProgress::Returned) {
             self.send(&leader, message, fx);
         }
     }
 
-    pub(super) fn caller_gone(&mut self, id: &RequestId, fx: &mut Vec<Effect>) {
+    pub(super) fn caller_disconnected(&mut self, id: &RequestId, fx: &mut Vec<Effect>) {
         self.abandon_claim(id, fx);
         let running = self.owner.dispatched.get(id);
         if running.is_some_and(|request| request.info.repeat == Repeat::Never) {
--- a/crates/jaypin_core/src/reducer/gossip.rs
+++ b/crates/jaypin_core/src/reducer/gossip.rs
@@ -6,8 +6,8 @@
 
 use rand::RngExt;
 
-use super::{DRAIN_CLAIMS, Reducer};
-use crate::member::{BUCKETS, Member, MemberStatus};
+use super::{DRAIN_CLAIM_WINDOW, Reducer};
+use crate::member::{BUCKET_COUNT, Member, MemberStatus};
 use crate::{Config, Digest, Effect, HostId, Incarnation, Message};
 
 /// How often a host that is taken for gone is tried, so that a healed network shows.
@@ -15,9 +15,9 @@
 /// How long a content that was asked for may take before another peer is asked.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long an idle host stays after it was told to leave, so that its word spreads.
-const MIN_DRAIN: Duration = Duration::from_millis(300);
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(300);
 /// Longest wait for a first partner's digest before the host takes itself for the first.
-const PEER_WAIT: Duration = Duration::from_secs(3);
+const FIRST_DIGEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What the exchange with partners rests on.
 #[derive(Debug, Default)]
@@ -28,14 +28,14 @@
     pub versions_changed: bool,
     partners: Vec<HostId>,
     watching: Option<bool>,
-    news: BTreeSet<HostId>,
+    changed_members: BTreeSet<HostId>,
     rule_text: Option<(u64, Arc<str>)>,
     fetching: Fetching,
     suspects: BTreeMap<HostId, Instant>,
     next_round: Option<Instant>,
     next_probe: Option<Instant>,
-    alone_at: Option<Instant>,
-    drained_at: Option<Instant>,
+    peer_wait_until: Option<Instant>,
+    drain_started_at: Option<Instant>,
 }
 
 /// Versions that were asked for, and when.
@@ -58,7 +58,7 @@
     // ------------------------------------------------------------------ rounds
 
     pub(super) fn gossip_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
-        self.bury_suspects(now, fx);
+        self.declare_suspects_dead(now, fx);
         self.stop_waiting_for_peers(now);
         let round = self.gossip.next_round.get_or_insert(now);
         if now < *round {
@@ -94,14 +94,14 @@
     }
 
     /// Tells partners at once what changed, so that news needs no round a hop.
-    pub(super) fn spread_news(&mut self, fx: &mut Vec<Effect>) {
-        let news = std::mem::take(&mut self.gossip.news);
+    pub(super) fn publish_changes(&mut self, fx: &mut Vec<Effect>) {
+        let changed = std::mem::take(&mut self.gossip.changed_members);
         let versions_changed = std::mem::take(&mut self.gossip.versions_changed);
-        if news.is_empty() && !versions_changed {
+        if changed.is_empty() && !versions_changed {
             return;
         }
         let table = self.membership.table();
-        let entries: Vec<(HostId, Member)> = news
+        let entries: Vec<(HostId, Member)> = changed
             .into_iter()
             .filter_map(|host| table.get(&host).map(|member| (host, member)))
             .collect();
@@ -125,7 +125,7 @@
     }
 
     /// Who hears of strikes first.
-    pub(super) fn strike_partners(&self) -> Vec<HostId> {
+    pub(super) fn partners_to_notify(&self) -> Vec<HostId> {
         self.gossip.partners.clone()
     }
 
@@ -144,7 +144,7 @@
             self.gossip.partners.clone_from(&partners);
             fx.push(Effect::KeepLinks(partners));
         }
-        let listed = self.membership.link_of(&self.cfg.host).is_some();
+        let listed = self.membership.link_address(&self.cfg.host).is_some();
         let watching = !listed
             || self
                 .membership
@@ -170,8 +170,10 @@
         if !rules && !hosts && own.rules_version > 0 && own.hosts_version > 0 {
             self.gossip.caught_up = true;
         }
-        let rules = rules && may_fetch(&mut self.gossip.fetching.rules, digest.rules_version, now);
-        let hosts = hosts && may_fetch(&mut self.gossip.fetching.hosts, digest.hosts_version, now);
+        let rules =
+            rules && start_fetch(&mut self.gossip.fetching.rules, digest.rules_version, now);
+        let hosts =
+            hosts && start_fetch(&mut self.gossip.fetching.hosts, digest.hosts_version, now);
         if rules || hosts {
             self.send(from, Message::Fetch { rules, hosts }, fx);
         }
@@ -190,13 +192,13 @@
         if let Some((version, text)) = self.gossip.rule_text.clone().filter(|_| rules) {
             self.send(from, Message::RuleText { version, text }, fx);
         }
-        if hosts && self.membership.is_known() {
+        if hosts && self.membership.has_host_list() {
             let list = self.membership.list().clone();
             self.send(from, Message::Hosts(list), fx);
         }
     }
 
-    pub(super) fn rules_offered(&mut self, version: u64, text: Arc<str>, fx: &mut Vec<Effect>) {
+    pub(super) fn offer_rules(&mut self, version: u64, text: Arc<str>, fx: &mut Vec<Effect>) {
         if version > self.rules_version {
             fx.push(Effect::ParseRules { version, text });
         }
@@ -211,18 +213,21 @@
 
     /// A host that nobody answers is the first: it goes by what the platform said.
     fn stop_waiting_for_peers(&mut self, now: Instant) {
-        if self.gossip.caught_up || !self.membership.is_known() || self.rules_version == 0 {
+        if self.gossip.caught_up || !self.membership.has_host_list() || self.rules_version == 0 {
             return;
         }
-        let alone_at = *self.gossip.alone_at.get_or_insert(now + PEER_WAIT);
-        self.gossip.caught_up = self.gossip.partners.is_empty() || now >= alone_at;
+        let peer_wait_until = *self
+            .gossip
+            .peer_wait_until
+            .get_or_insert(now + FIRST_DIGEST_TIMEOUT);
+        self.gossip.caught_up = self.gossip.partners.is_empty() || now >= peer_wait_until;
     }
 
     // ------------------------------------------------------------------ table of hosts
 
     pub(super) fn buckets(&mut self, from: &HostId, hashes: &[u64], fx: &mut Vec<Effect>) {
         let own = self.membership.table().bucket_hashes();
-        let whole: Vec<u8> = (0..BUCKETS)
+        let whole: Vec<u8> = (0..BUCKET_COUNT)
             .filter(|index| hashes.get(*index) != Some(&own[*index]))
             .filter_map(|index| u8::try_from(index).ok())
             .collect();
@@ -256,7 +261,7 @@
             };
             self.send(from, back, fx);
         }
-        self.believe_all(now, entries, fx);
+        self.apply_members(now, entries, fx);
     }
 
     /// Entries of some buckets that a peer has not, or has older.
@@ -268,34 +273,39 @@
         own
     }
 
-    fn believe_all(&mut self, now: Instant, entries: Vec<(HostId, Member)>, fx: &mut Vec<Effect>) {
+    fn apply_members(
+        &mut self,
+        now: Instant,
+        entries: Vec<(HostId, Member)>,
+        fx: &mut Vec<Effect>,
+    ) {
         let mut changed = false;
         for (host, member) in entries {
             if host == self.cfg.host {
-                self.heard_of_self(now, member, fx);
+                self.refute_accusation(now, member, fx);
             } else {
-                changed |= self.believe(now, &host, member);
+                changed |= self.apply_member(now, &host, member);
             }
         }
         if changed {
-            self.view_changed(now, fx);
+            self.membership_changed(now, fx);
         }
     }
 
     /// Takes an entry of another host; says whether it is news.
-    fn believe(&mut self, now: Instant, host: &HostId, member: Member) -> bool {
+    fn apply_member(&mut self, now: Instant, host: &HostId, member: Member) -> bool {
         let before = self.membership.table().get(host);
-        if !self.membership.take(host, member) {
+        if !self.membership.apply(host, member) {
             return false;
         }
-        self.gossip.news.insert(host.clone());
+        self.gossip.changed_members.insert(host.clone());
         let restarted = before.is_some_and(|before| before.incarnation < member.incarnation);
-        let was_accused = before.is_some_and(|before| before.is_accused());
+        let was_accused = before.is_some_and(|before| before.is_suspected());
         for scheduler in self.schedulers.values_mut() {
-            if member.is_accused() || restarted {
+            if member.is_suspected() || restarted {
                 scheduler.mark_owner_lost(host, now);
             }
-            if !member.is_accused() && (was_accused || restarted) {
+            if !member.is_suspected() && (was_accused || restarted) {
                 scheduler.mark_owner_recovered(host, now);
             }
         }
@@ -307,7 +317,7 @@
         true
     }
 
-    fn bury_suspects(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    fn declare_suspects_dead(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let timeout = self.cfg.suspect_timeout;
         let overdue: Vec<HostId> = self
             .gossip
@@ -317,44 +327,50 @@
             .map(|(host, _)| host.clone())
             .collect();
         for host in overdue {
-            self.accuse(now, &host, MemberStatus::Dead, fx);
+            self.mark_peer(now, &host, MemberStatus::Dead, fx);
         }
     }
 
-    fn accuse(&mut self, now: Instant, host: &HostId, status: MemberStatus, fx: &mut Vec<Effect>) {
+    fn mark_peer(
+        &mut self,
+        now: Instant,
+        host: &HostId,
+        status: MemberStatus,
+        fx: &mut Vec<Effect>,
+    ) {
         let known = self.membership.table().get(host);
         let member = known.unwrap_or(Member::alive(0)).with_status(status);
         if known.is_some_and(|known| known.status >= status) {
             return;
         }
-        if self.believe(now, host, member) {
-            self.view_changed(now, fx);
+        if self.apply_member(now, host, member) {
+            self.membership_changed(now, fx);
         }
     }
 
     // ------------------------------------------------------------------ links
 
-    pub(super) fn peer_lost(&mut self, now: Instant, host: &HostId, fx: &mut Vec<Effect>) {
+    pub(super) fn peer_exited(&mut self, now: Instant, host: &HostId, fx: &mut Vec<Effect>) {
         self.keys.orphan(host);
-        self.accuse(now, host, MemberStatus::Dead, fx);
+        self.mark_peer(now, host, MemberStatus::Dead, fx);
     }
 
-    pub(super) fn peer_silent(&mut self, now: Instant, host: &HostId, fx: &mut Vec<Effect>) {
+    pub(super) fn peer_unresponsive(&mut self, now: Instant, host: &HostId, fx: &mut Vec<Effect>) {
         self.keys.orphan(host);
-        self.accuse(now, host, MemberStatus::Suspect, fx);
+        self.mark_peer(now, host, MemberStatus::Suspect, fx);
     }
 
     /// A process that proved itself on a link runs: a new run of it is a new member.
     /// One that is taken for gone is told so, and refutes by itself.
-    pub(super) fn peer_met(
+    pub(super) fn peer_connected(
         &mut self,
         now: Instant,
         host: &HostId,
         incarnation: Incarnation,
         fx: &mut Vec<Effect>,
     ) {
-        if self.believe(now, host, Member::alive(incarnation)) {
-            self.view_changed(now, fx);
+        if self.apply_member(now, host, Member::alive(incarnation)) {
+            self.membership_changed(now, fx);
         }
         let digest = self.own_digest();
         self.send(host, Message::Digest(digest), fx);
@@ -363,13 +379,13 @@
     // ------------------------------------------------------------------ this host
 
     /// Tells the others of this run, once there is somebody to tell.
-    pub(super) fn own_status(&mut self, status: MemberStatus) {
+    pub(super) fn set_own_status(&mut self, status: MemberStatus) {
         let host = self.cfg.host.clone();
         let known = self.membership.table().get(&host);
         let own = known.filter(|known| known.incarnation == self.cfg.incarnation);
         let member = own.unwrap_or(Member::alive(self.cfg.incarnation));
-        if self.membership.take(&host, member.with_status(status)) {
-            self.gossip.news.insert(host);
+        if self.membership.apply(&host, member.with_status(status)) {
+            self.gossip.changed_members.insert(host);
         }
     }
 
@@ -377,8 +393,8 @@
     /// links were cut. It shows as an accusation of this very run. A greater revision
     /// outweighs it everywhere; others took over its shards meanwhile, so its schedulers
     /// start anew, and its own requests, dropped there, ask again.
-    fn heard_of_self(&mut self, now: Instant, heard: Member, fx: &mut Vec<Effect>) {
-        let accused = heard.incarnation == self.cfg.incarnation && heard.is_accused();
+    fn refute_accusation(&mut self, now: Instant, heard: Member, fx: &mut Vec<Effect>) {
+        let accused = heard.incarnation == self.cfg.incarnation && heard.is_suspected();
         let host = self.cfg.host.clone();
         let own = self.membership.table().get(&host);
         if !accused || own.is_some_and(|own| own.revision > heard.revision) {
@@ -399,16 +415,16 @@
             revision,
             ..Member::alive(self.cfg.incarnation).with_status(status)
         };
-        self.membership.take(&host, member);
-        self.gossip.news.insert(host);
+        self.membership.apply(&host, member);
+        self.gossip.changed_members.insert(host);
         self.restart_schedulers(now, fx);
-        self.ask_all_again(now, fx);
+        self.request_all_slots_again(now, fx);
     }
 
     /// Guards against a process that was frozen and does not know it: it shows as a gap
     /// between two events, since ticks come all the time. What it led was taken over
     /// meanwhile, perhaps, and it must not grant on old counts even once.
-    pub(super) fn notice_pause(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    pub(super) fn detect_pause(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let last = self.last_event.replace(now);
         let limit = self.cfg.pause_limit;
         if last.is_none_or(|last| now.duration_since(last) < limit) {
@@ -428,25 +444,25 @@
             return;
         }
         self.draining = true;
-        self.gossip.drained_at = Some(now);
-        self.own_status(MemberStatus::Leaving);
-        self.view_changed(now, fx);
+        self.gossip.drain_started_at = Some(now);
+        self.set_own_status(MemberStatus::Leaving);
+        self.membership_changed(now, fx);
     }
 
     /// Whether a host that is leaving still asks the owners of keys.
     pub(super) fn may_claim(&self, now: Instant) -> bool {
-        let told = self.gossip.drained_at;
-        told.is_none_or(|told| now.duration_since(told) < DRAIN_CLAIMS)
+        let told = self.gossip.drain_started_at;
+        told.is_none_or(|told| now.duration_since(told) < DRAIN_CLAIM_WINDOW)
     }
 
     pub(super) fn may_exit(&self, now: Instant) -> bool {
-        let told = self.gossip.drained_at;
-        let spread = told.is_some_and(|told| now.duration_since(told) >= MIN_DRAIN);
+        let told = self.gossip.drain_started_at;
+        let spread = told.is_some_and(|told| now.duration_since(told) >= MIN_DRAIN_TIME);
         spread && self.is_idle(now)
     }
 }
 
-fn may_fetch(fetching: &mut Option<(u64, Instant)>, version: u64, now: Instant) -> bool {
+fn start_fetch(fetching: &mut Option<(u64, Instant)>, version: u64, now: Instant) -> bool {
     let pending = fetching
         .is_some_and(|(asked, at)| asked >= version && now.duration_since(at) < FETCH_TIMEOUT);
     if !pending {
@@ -456,4 +472,4 @@
 }
 
 /// Bucket numbers travel as bytes.
-const _: () = assert!(BUCKETS <= u8::MAX as usize);
+const _: () = assert!(BUCKET_COUNT <= u8::MAX as usize);
--- a/crates/jaypin_core/src/reducer/keys.rs
+++ b/crates/jaypin_core/src/reducer/keys.rs
@@ -6,7 +6,7 @@
 use jaypin_rules::Repeat;
 
 use super::{DEFAULT_RETRY_AFTER, Reducer, record};
-use crate::claims::{HeldClaim, Unsettled};
+use crate::claims::{HeldClaim, UnsettledOutcome};
 use crate::request::{Claiming, Request};
 use crate::{
     ClaimSubject, ClaimVerdict, Effect, HostId, IdempotencyKey, KeyOutcome, Message, Ran, Reason,
@@ -20,13 +20,13 @@
 /// Time after which an unconfirmed outcome is sent again.
 const SETTLE_RESEND: Duration = Duration::from_millis(500);
 /// Time for which an unconfirmed outcome is kept; then the key stays unknown.
-const SETTLE_KEPT: Duration = Duration::from_secs(30);
+const SETTLE_EXPIRY: Duration = Duration::from_secs(30);
 
 impl Reducer {
     // ------------------------------------------------------------------ request's owner
 
     /// Claims the key of a call that may not be repeated; says whether it has to wait.
-    pub(super) fn must_claim(
+    pub(super) fn start_claim(
         &mut self,
         now: Instant,
         info: &RequestInfo,
@@ -82,7 +82,7 @@
         self.send(&owner, message, fx);
     }
 
-    pub(super) fn claim_answered(
+    pub(super) fn claim_verdict_received(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -108,14 +108,14 @@
             ClaimVerdict::Granted if self.not_serving().is_some() => {
                 // Now it is known that no earlier try of this key ran.
                 let claim = request.state.claim;
-                self.tell_outcome(id, claim, KeyOutcome::NotRun, fx);
+                self.send_outcome(id, claim, KeyOutcome::NotRun, fx);
                 Refusal::not_run(Reason::Draining).retry_after(DEFAULT_RETRY_AFTER)
             }
             ClaimVerdict::Granted => {
                 let (mut info, claim) = (request.info, request.state.claim);
                 self.claims.held.insert(id.clone(), claim);
                 info.subtract_elapsed(after);
-                return self.place(now, info, fx);
+                return self.schedule(now, info, fx);
             }
             ClaimVerdict::Done(Some(answer)) => {
                 return fx.push(Effect::Replay {
@@ -140,18 +140,18 @@
         let Some(claim) = self.claims.held.remove(id) else {
             return;
         };
-        self.tell_outcome(id, claim, outcome, fx);
+        self.send_outcome(id, claim, outcome, fx);
     }
 
     /// The caller left while the claim was asked for: nothing left, nothing will.
     pub(super) fn abandon_claim(&mut self, id: &RequestId, fx: &mut Vec<Effect>) {
         if let Some(request) = self.claims.claiming.remove(id) {
-            self.tell_outcome(id, request.state.claim, KeyOutcome::NotRun, fx);
+            self.send_outcome(id, request.state.claim, KeyOutcome::NotRun, fx);
         }
     }
 
     /// Kept until the key's owner confirms, because a link may lose it.
-    fn tell_outcome(
+    fn send_outcome(
         &mut self,
         id: &RequestId,
         claim: HeldClaim,
@@ -164,7 +164,7 @@
             outcome: outcome.clone(),
         };
         self.send(&claim.owner, message, fx);
-        let unsettled = Unsettled {
+        let unsettled = UnsettledOutcome {
             claim,
             outcome,
             since: None,
@@ -192,11 +192,11 @@
 
     pub(super) fn claims_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.keys.expire(now);
-        self.claims_overdue(now, fx);
-        self.outcomes_overdue(now, fx);
+        self.handle_overdue_claims(now, fx);
+        self.resend_outcomes(now, fx);
     }
 
-    fn claims_overdue(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    fn handle_overdue_claims(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let claiming = std::mem::take(&mut self.claims.claiming);
         for (id, mut request) in claiming {
             let after = now.duration_since(request.arrived_at);
@@ -205,7 +205,7 @@
                 // run before, so it isn't run now. Should the owner wake up and grant
                 // the claim late, the word that follows gives it back.
                 let refusal = Refusal::after_dispatch(Reason::KeyUnknown, Ran::Unknown);
-                self.tell_outcome(&id, request.state.claim, KeyOutcome::NotRun, fx);
+                self.send_outcome(&id, request.state.claim, KeyOutcome::NotRun, fx);
                 self.refuse(&request.info, after, refusal, fx);
                 continue;
             }
@@ -217,7 +217,7 @@
         }
     }
 
-    fn outcomes_overdue(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    fn resend_outcomes(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let mut again = Vec::new();
         self.claims.unsettled.retain(|id, kept| {
             let since = *kept.since.get_or_insert(now);
@@ -231,14 +231,14 @@
                 };
                 again.push((kept.claim.owner.clone(), message));
             }
-            now.duration_since(since) < SETTLE_KEPT
+            now.duration_since(since) < SETTLE_EXPIRY
         });
         self.send_all(again, fx);
     }
 
     // ------------------------------------------------------------------ key's owner
 
-    pub(super) fn claim_asked(
+    pub(super) fn answer_claim(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -251,7 +251,7 @@
             Some(key) => {
                 let verdict = self.keys.claim(now, &key, subject, from, &id);
                 if verdict == ClaimVerdict::InFlight {
-                    self.ask_holder(&text, &key, fx);
+                    self.check_holder(&text, &key, fx);
                 }
                 verdict
             }
@@ -268,7 +268,7 @@
 
     /// Guards against a holder that died unnoticed: its silence would keep the key in
     /// flight. Asking either gets its word or shows that the link is lost.
-    fn ask_holder(&mut self, text: &Arc<str>, key: &IdempotencyKey, fx: &mut Vec<Effect>) {
+    fn check_holder(&mut self, text: &Arc<str>, key: &IdempotencyKey, fx: &mut Vec<Effect>) {
         let holder = self.keys.holder(key);
         if let Some((host, id)) = holder.map(|(host, id)| (host.clone(), id.clone())) {
             let key = text.clone();
--- a/crates/jaypin_core/src/reducer/knowledge.rs
+++ b/crates/jaypin_core/src/reducer/knowledge.rs
@@ -30,14 +30,17 @@
         // Lagging platform copies and late peers: the greater version stays.
         if self.membership.update(list, &self.cfg) {
             self.gossip.versions_changed = true;
-            self.view_changed(now, fx);
+            self.membership_changed(now, fx);
         }
     }
 
     pub(super) fn load(&mut self, now: Instant, report: &LoadReport, fx: &mut Vec<Effect>) {
         self.baseline.apply_load_report(report);
-        if self.membership.report(&report.backend, report.leaving) {
-            self.view_changed(now, fx);
+        if self
+            .membership
+            .set_reported_leaving(&report.backend, report.leaving)
+        {
+            self.membership_changed(now, fx);
         }
         // A fixed share says nothing of what the other hosts run, so reports are no
         // correction there.
@@ -48,12 +51,12 @@
         if let Some(scheduler) = shard.and_then(|shard| self.schedulers.get_mut(shard)) {
             scheduler.apply_load_report(report, now);
         }
-        self.backend_reported(now, &report.backend, fx);
+        self.record_backend_report(now, &report.backend, fx);
     }
 
     /// Takes up and lays down shards, chooses partners, and tells new leaders what runs
     /// here.
-    pub(super) fn view_changed(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    pub(super) fn membership_changed(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.choose_links(fx);
         let led: BTreeSet<Shard> = self
             .membership
@@ -65,20 +68,20 @@
             .collect();
         self.schedulers.retain(|shard, _| led.contains(shard));
         for shard in led {
-            let is_new = self.lead(now, &shard);
-            let records = self.records_for(&shard);
+            let is_new = self.start_scheduler(now, &shard);
+            let records = self.grantable_backends(&shard);
             if let Some(scheduler) = self.schedulers.get_mut(&shard) {
                 scheduler.set_backends(records.iter(), now);
             }
             if is_new {
-                self.take_early_reports(now, &shard, fx);
+                self.apply_early_reports(now, &shard, fx);
             }
         }
-        self.follow_leaders(now, fx);
+        self.handle_new_terms(now, fx);
     }
 
     /// The backend servers of a shard, with the slots that this host may grant.
-    fn records_for(&self, shard: &Shard) -> Vec<BackendRecord> {
+    fn grantable_backends(&self, shard: &Shard) -> Vec<BackendRecord> {
         let records = self.membership.backends_of(shard);
         if self.cfg.policy != Policy::Local {
             return records;
--- a/crates/jaypin_core/src/reducer/limits.rs
+++ b/crates/jaypin_core/src/reducer/limits.rs
@@ -7,23 +7,23 @@
 use crate::{AccountId, Allowance, Effect, HostId, Message, Shard};
 
 /// Pause between two tellings of use.
-const USAGE_PAUSE: Duration = Duration::from_secs(1);
+const USAGE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Reducer {
     /// Tells keepers what limited accounts asked in the shards led here.
-    pub(super) fn tell_usage(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    pub(super) fn report_usage(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         if self.next_usage.is_some_and(|at| now < at) {
             return;
         }
-        self.next_usage = Some(now + USAGE_PAUSE);
-        self.limit_keeper.forget_idle(now);
-        let mut told = Vec::new();
+        self.next_usage = Some(now + USAGE_REPORT_INTERVAL);
+        self.limit_keeper.remove_expired(now);
+        let mut reports = Vec::new();
         for (shard, scheduler) in &mut self.schedulers {
             for seen in scheduler.take_usage(now) {
-                told.push((shard.clone(), seen));
+                reports.push((shard.clone(), seen));
             }
         }
-        for (shard, seen) in told {
+        for (shard, seen) in reports {
             let Some(keeper) = self.keeper(&seen.account).cloned() else {
                 continue;
             };
@@ -53,6 +53,9 @@
         at_once: u32,
     ) -> Option<Allowance> {
         let rule = self.rule_index.limit(account)?;
-        Some(self.limit_keeper.note(rule, shard, tokens, at_once, now))
+        Some(
+            self.limit_keeper
+                .record_usage(rule, shard, tokens, at_once, now),
+        )
     }
 }
--- a/crates/jaypin_core/src/reducer/messages.rs
+++ b/crates/jaypin_core/src/reducer/messages.rs
@@ -30,7 +30,7 @@
                 refusal,
                 expected_wait,
             } => {
-                self.note_wait(now, &id, attempt, expected_wait);
+                self.record_wait(now, &id, attempt, expected_wait);
                 self.refused(now, &id, attempt, refusal, fx);
             }
             Message::Confirm { shard, id, number } => {
@@ -80,11 +80,11 @@
                 self.send_all(out, fx);
             }
             Message::InFlight { shard, running } => {
-                self.owner_reported(now, from, &shard, running, fx);
+                self.record_owner_report(now, from, &shard, running, fx);
             }
             Message::Digest(digest) => self.digest(now, from, digest, fx),
             Message::Fetch { rules, hosts } => self.fetch(from, rules, hosts, fx),
-            Message::RuleText { version, text } => self.rules_offered(version, text, fx),
+            Message::RuleText { version, text } => self.offer_rules(version, text, fx),
             Message::Hosts(list) => self.hosts(now, list, fx),
             Message::Buckets(hashes) => self.buckets(from, &hashes, fx),
             Message::Members {
@@ -99,12 +99,12 @@
             Message::CrashCount {
                 fingerprint,
                 crash_count: strikes,
-            } => self.strike_heard(now, fingerprint, strikes, fx),
+            } => self.crash_count_received(now, fingerprint, strikes, fx),
             Message::Claim { key, id, subject } => {
-                self.claim_asked(now, from, key, id, &subject, fx);
+                self.answer_claim(now, from, key, id, &subject, fx);
             }
             Message::Claimed { key, id, verdict } => {
-                self.claim_answered(now, from, &id, &key, verdict, fx);
+                self.claim_verdict_received(now, from, &id, &key, verdict, fx);
             }
             Message::Settle { key, id, outcome } => self.settled(from, &key, id, outcome, fx),
             Message::Settled { id } => {
@@ -129,7 +129,7 @@
     }
 
     /// Remembers how long requests of a tier wait in the shard that was asked.
-    fn note_wait(&mut self, now: Instant, id: &RequestId, attempt: u32, wait: Duration) {
+    fn record_wait(&mut self, now: Instant, id: &RequestId, attempt: u32, wait: Duration) {
         if let Some(request) = self.owner.waiting.get(id)
             && request.state.attempt == attempt
         {
@@ -171,7 +171,7 @@
         attempt: u32,
         expected_wait: Duration,
     ) {
-        self.note_wait(now, id, attempt, expected_wait);
+        self.record_wait(now, id, attempt, expected_wait);
         if let Some(request) = self.owner.waiting.get_mut(id)
             && request.state.attempt == attempt
         {
@@ -235,7 +235,7 @@
             .waiting
             .get(id)
             .is_some_and(|request| request.state.attempt == attempt);
-        if !wanted || self.ask_elsewhere(now, id, &refusal, fx) {
+        if !wanted || self.request_slot_elsewhere(now, id, &refusal, fx) {
             return;
         }
         if let Some(request) = self.owner.waiting.remove(id) {
--- a/crates/jaypin_core/src/reducer/mod.rs
+++ b/crates/jaypin_core/src/reducer/mod.rs
@@ -44,10 +44,10 @@
 ///
 /// Guards against a host that never leaves while the owner of a key is frozen. Without
 /// the confirmation the key becomes `unknown` once this host is gone: never a second run.
-const DRAIN_PATIENCE: Duration = Duration::from_secs(3);
+const DRAIN_SETTLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a leaving host still asks the owners of keys, for callers who have not heard
 /// that it leaves. Later ones are told `unknown` at once, or their claims would keep it.
-const DRAIN_CLAIMS: Duration = Duration::from_secs(5);
+const DRAIN_CLAIM_WINDOW: Duration = Duration::from_secs(5);
 
 /// The decision state of one host.
 #[derive(Debug)]
@@ -138,7 +138,7 @@
             last_event: None,
             cfg,
         };
-        reducer.own_status(MemberStatus::Alive);
+        reducer.set_own_status(MemberStatus::Alive);
         reducer
     }
 
@@ -148,13 +148,13 @@
     pub fn apply(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         let mut fx = Vec::new();
         self.started.get_or_insert(now);
-        self.notice_pause(now, &mut fx);
-        self.take(now, event, &mut fx);
+        self.detect_pause(now, &mut fx);
+        self.handle_event(now, event, &mut fx);
         while let Some(message) = self.inbox.pop_front() {
             let from = self.cfg.host.clone();
-            self.take(now, Event::Link { from, message }, &mut fx);
+            self.handle_event(now, Event::Link { from, message }, &mut fx);
         }
-        self.spread_news(&mut fx);
+        self.publish_changes(&mut fx);
         fx
     }
 
@@ -162,7 +162,7 @@
     #[must_use]
     pub fn summary(&self) -> Summary {
         Summary {
-            rules_version: self.version_in_force(),
+            rules_version: self.confirmed_rules_version(),
             hosts_version: self.membership.list().version,
             shards_led: self.schedulers.len(),
             waiting: self.owner.waiting.len(),
@@ -200,7 +200,7 @@
     ///
     /// Guards against a host that starts while the platform answers an old copy: it would
     /// show, and check callers by, a version that the fleet has left behind.
-    fn version_in_force(&self) -> u64 {
+    fn confirmed_rules_version(&self) -> u64 {
         if self.gossip.caught_up {
             self.rules_version
         } else {
@@ -214,10 +214,10 @@
         &self.membership
     }
 
-    fn take(&mut self, now: Instant, event: Event, fx: &mut Vec<Effect>) {
+    fn handle_event(&mut self, now: Instant, event: Event, fx: &mut Vec<Effect>) {
         match event {
             Event::Arrived(info) => self.arrived(now, info, fx),
-            Event::CallerDisconnected(id) => self.caller_gone(&id, fx),
+            Event::CallerDisconnected(id) => self.caller_disconnected(&id, fx),
             Event::Call { id, progress } => self.call(now, &id, progress, fx),
             Event::KeyedCallAnswered { id, answer } => {
                 self.settle(&id, KeyOutcome::Answered(answer), fx);
@@ -228,11 +228,12 @@
                     self.message(now, &from, message, fx);
                 }
             }
-            Event::PeerExited(host) => self.peer_lost(now, &host, fx),
-            Event::PeerUnresponsive(host) => self.peer_silent(now, &host, fx),
+            Event::PeerExited(host) => self.peer_exited(now, &host, fx),
+            Event::PeerUnresponsive(host) => self.peer_unresponsive(now, &host, fx),
             Event::PeerConnected { host, incarnation } => {
-                self.peer_met(now, &host, incarnation, fx);
+                self.peer_connected(now, &host, incarnation, fx);
             }
+
             Event::Hosts(list) => self.hosts(now, list, fx),
             Event::Rules { version, rules } => self.rules(version, rules),
             Event::RuleText { version, text } => self.rule_text(version, text),
@@ -262,7 +263,7 @@
 
     /// Whether nothing is left to do for a caller or to tell a peer.
     fn is_idle(&self, now: Instant) -> bool {
-        self.owner.is_idle() && self.claims.is_idle(now, DRAIN_PATIENCE)
+        self.owner.is_idle() && self.claims.is_idle(now, DRAIN_SETTLE_TIMEOUT)
     }
 
     fn send_all(&mut self, letters: Vec<OutgoingMessage>, fx: &mut Vec<Effect>) {
@@ -316,7 +317,7 @@
 }
 
 /// The message that tells a request's shard scheduler what became of its slot.
-fn slot_message(
+fn slot_progress_message(
     request: &Request<Dispatched>,
     progress: SlotProgress,
 ) -> Option<(HostId, Message)> {
--- a/crates/jaypin_core/src/reducer/poison.rs
+++ b/crates/jaypin_core/src/reducer/poison.rs
@@ -8,7 +8,7 @@
 
 impl Reducer {
     /// The refusal of a request whose content is quarantined.
-    pub(super) fn quarantined(&self, now: Instant, info: &RequestInfo) -> Option<Refusal> {
+    pub(super) fn quarantine_refusal(&self, now: Instant, info: &RequestInfo) -> Option<Refusal> {
         let rule = &self.rules.quarantine;
         let left = self.quarantine.remaining_quarantine(
             now,
@@ -21,7 +21,7 @@
     }
 
     /// Tells the shard scheduler, where all calls that died together are known.
-    pub(super) fn tell_death(&mut self, request: &Request<Dispatched>, fx: &mut Vec<Effect>) {
+    pub(super) fn report_crash(&mut self, request: &Request<Dispatched>, fx: &mut Vec<Effect>) {
         let slot = &request.state.slot;
         let Some((_, leader, _)) = slot.grant.clone() else {
             return;
@@ -36,7 +36,7 @@
         self.send(&leader, died, fx);
     }
 
-    pub(super) fn poison_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    pub(super) fn quarantine_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let rule = &self.rules.quarantine;
         let (limit, hold) = (rule.crash_limit.max(1), rule.duration);
         self.quarantine.expire(now, hold);
@@ -45,7 +45,7 @@
         }
     }
 
-    pub(super) fn strike_heard(
+    pub(super) fn crash_count_received(
         &mut self,
         now: Instant,
         fingerprint: u64,
@@ -66,7 +66,7 @@
             fingerprint,
             crash_count: strikes,
         };
-        for partner in self.strike_partners() {
+        for partner in self.partners_to_notify() {
             self.send(&partner, strike.clone(), fx);
         }
     }
--- a/crates/jaypin_core/src/reducer/succession.rs
+++ b/crates/jaypin_core/src/reducer/succession.rs
@@ -11,7 +11,7 @@
 };
 
 /// How long a report is kept that came before this host knew that it leads the shard.
-const EARLY_REPORT_HOLD: Duration = Duration::from_secs(1);
+const EARLY_REPORT_EXPIRY: Duration = Duration::from_secs(1);
 
 /// Owners whose reports this host's new schedulers wait for.
 #[derive(Debug, Default)]
@@ -39,12 +39,12 @@
 impl Reducer {
     /// Starts the scheduler of a shard that this host leads from now on; says whether it
     /// is new.
-    pub(super) fn lead(&mut self, now: Instant, shard: &Shard) -> bool {
+    pub(super) fn start_scheduler(&mut self, now: Instant, shard: &Shard) -> bool {
         if self.schedulers.contains_key(shard) {
             return false;
         }
         let cfg = Config {
-            incarnation: self.grant_epoch(now),
+            incarnation: self.grant_incarnation(now),
             ..self.cfg.clone()
         };
         let scheduler = Scheduler::new(shard.clone(), &cfg, self.rule_index.clone(), now);
@@ -73,7 +73,7 @@
     /// Guards against backend servers that refuse all orders after a shard moved to a
     /// host whose process is older than its predecessor's: they compare numbers, so a
     /// later scheduler needs a greater one, whenever its process began.
-    fn grant_epoch(&self, now: Instant) -> Incarnation {
+    fn grant_incarnation(&self, now: Instant) -> Incarnation {
         let since = self
             .started
             .map_or(Duration::ZERO, |at| now.duration_since(at));
@@ -89,10 +89,10 @@
     pub(super) fn restart_schedulers(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.schedulers.clear();
         self.rebuilds.awaited.clear();
-        self.view_changed(now, fx);
+        self.membership_changed(now, fx);
     }
 
-    pub(super) fn owner_reported(
+    pub(super) fn record_owner_report(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -101,7 +101,7 @@
         fx: &mut Vec<Effect>,
     ) {
         let Some(scheduler) = self.schedulers.get_mut(shard) else {
-            return self.keep_early_report(now, from, shard, running);
+            return self.store_early_report(now, from, shard, running);
         };
         scheduler.adopt_in_flight(from, running, now);
         if let Some(rebuild) = self.rebuilds.awaited.get_mut(shard) {
@@ -113,14 +113,14 @@
     /// Guards against a report that overtakes the news that made its sender send it: it
     /// shows as a full window of waiting, and as slots granted twice when a report is
     /// the only one. Kept for a moment, it counts when this host takes up the shard.
-    fn keep_early_report(
+    fn store_early_report(
         &mut self,
         now: Instant,
         from: &HostId,
         shard: &Shard,
         running: Vec<InFlight>,
     ) {
-        self.drop_old_reports(now);
+        self.drop_expired_reports(now);
         self.rebuilds.early.push(EarlyReport {
             at: now,
             from: from.clone(),
@@ -129,23 +129,28 @@
         });
     }
 
-    fn drop_old_reports(&mut self, now: Instant) {
+    fn drop_expired_reports(&mut self, now: Instant) {
         let early = &mut self.rebuilds.early;
-        early.retain(|report| now.duration_since(report.at) < EARLY_REPORT_HOLD);
+        early.retain(|report| now.duration_since(report.at) < EARLY_REPORT_EXPIRY);
     }
 
-    pub(super) fn take_early_reports(&mut self, now: Instant, shard: &Shard, fx: &mut Vec<Effect>) {
-        self.drop_old_reports(now);
+    pub(super) fn apply_early_reports(
+        &mut self,
+        now: Instant,
+        shard: &Shard,
+        fx: &mut Vec<Effect>,
+    ) {
+        self.drop_expired_reports(now);
         let early = std::mem::take(&mut self.rebuilds.early);
         let (taken, kept) = early.into_iter().partition(|report| report.shard == *shard);
         self.rebuilds.early = kept;
         let taken: Vec<EarlyReport> = taken;
         for report in taken {
-            self.owner_reported(now, &report.from, shard, report.running, fx);
+            self.record_owner_report(now, &report.from, shard, report.running, fx);
         }
     }
 
-    pub(super) fn backend_reported(
+    pub(super) fn record_backend_report(
         &mut self,
         now: Instant,
         backend: &BackendId,
@@ -190,7 +195,7 @@
     ///
     /// A term is a leader's run and revision: a leader that restarted at the same
     /// address, or was taken for gone, has lost its counts though its name is the same.
-    pub(super) fn follow_leaders(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    pub(super) fn handle_new_terms(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let terms = self.current_terms();
         if terms == self.terms {
             return;
@@ -204,7 +209,7 @@
         for shard in &changed {
             self.report_in_flight(shard, fx);
         }
-        self.ask_leaders_again(now, &changed, &before, fx);
+        self.request_slots_again(now, &changed, &before, fx);
     }
 
     fn current_terms(&self) -> BTreeMap<Shard, Term> {
@@ -235,7 +240,7 @@
         self.send(&leader, Message::InFlight { shard, running }, fx);
     }
 
-    fn ask_leaders_again(
+    fn request_slots_again(
         &mut self,
         now: Instant,
         changed: &BTreeSet<Shard>,
@@ -254,14 +259,14 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in moved {
-            self.ask_again(now, &id, fx);
+            self.request_slot_again(now, &id, fx);
         }
     }
 
-    pub(super) fn ask_all_again(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    pub(super) fn request_all_slots_again(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let waiting: Vec<RequestId> = self.owner.waiting.keys().cloned().collect();
         for id in waiting {
-            self.ask_again(now, &id, fx);
+            self.request_slot_again(now, &id, fx);
         }
     }
 }
--- a/crates/jaypin_core/src/reducer/time.rs
+++ b/crates/jaypin_core/src/reducer/time.rs
@@ -15,10 +15,10 @@
             scheduler.tick(now, &mut out);
         }
         self.send_all(out, fx);
-        self.tell_usage(now, fx);
-        self.ask_overdue(now, fx);
+        self.report_usage(now, fx);
+        self.handle_overdue_requests(now, fx);
         self.claims_tick(now, fx);
-        self.poison_tick(now, fx);
+        self.quarantine_tick(now, fx);
         self.poll_loads(now, fx);
         if self.may_exit(now) && !self.exited {
             self.exited = true;
@@ -28,7 +28,7 @@
 
     /// Guards against a shard scheduler that died or never got the ask: nothing was
     /// dispatched, so asking again, at its successor, is safe.
-    pub(super) fn ask_overdue(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    pub(super) fn handle_overdue_requests(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let mut overdue = Vec::new();
         let mut late = Vec::new();
         for (id, request) in &self.owner.waiting {
@@ -41,14 +41,14 @@
             }
         }
         for id in overdue {
-            self.ask_again(now, &id, fx);
+            self.request_slot_again(now, &id, fx);
         }
         for id in late {
-            self.too_late(now, &id, fx);
+            self.refuse_too_late(now, &id, fx);
         }
     }
 
-    pub(super) fn too_late(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
+    pub(super) fn refuse_too_late(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
         let Some(request) = self.owner.waiting.remove(id) else {
             return;
         };
--- a/crates/jaypin_core/tests/membership.rs
+++ b/crates/jaypin_core/tests/membership.rs
@@ -87,12 +87,12 @@
         let mut forward = MemberTable::default();
         let mut turned = MemberTable::default();
         for (host, member) in &entries {
-            forward.take(host, *member);
+            forward.apply(host, *member);
         }
         let start = if entries.is_empty() { 0 } else { order.index(entries.len()) };
         let rotated = entries[start..].iter().chain(&entries).rev();
         for (host, member) in rotated {
-            turned.take(host, *member);
+            turned.apply(host, *member);
         }
         prop_assert_eq!(forward.hash(), turned.hash());
         prop_assert!(forward.iter().eq(turned.iter()));
