--- a/crates/jaypin_core/src/claims.rs
+++ b/crates/jaypin_core/src/claims.rs
@@ -1,4 +1,4 @@
-//! The claims that this host's requests ask for, hold, and have ended.
+//! Claims on idempotency keys of this host's requests: requested, held, and ended.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,46 +7,47 @@
 use crate::request::{Claiming, Request};
 use crate::{HostId, KeyOutcome, RequestId};
 
-/// A claim on a key, as its holder knows it.
+/// A claim on an idempotency key, as its holder stores it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldClaim {
-    /// The key, as the caller gave it.
+    /// The key, as the caller sent it.
     pub key: Arc<str>,
     /// The host that owns the key.
     pub owner: HostId,
 }
 
-/// An outcome that the key's owner has not confirmed.
+/// The outcome of a claimed call that the key's owner has not confirmed yet.
 #[derive(Debug)]
 pub struct UnsettledOutcome {
     /// The claim.
     pub claim: HeldClaim,
-    /// What became of the call.
+    /// The outcome of the call.
     pub outcome: KeyOutcome,
-    /// When it was first looked after; none before.
+    /// Time of the first tick that saw this outcome; none before that tick.
     pub since: Option<Instant>,
-    /// When it was last sent; none before it was looked after.
+    /// Time from which the next resend is counted: the first tick that saw this outcome,
+    /// then each resend; none before that tick.
     pub sent_at: Option<Instant>,
 }
 
-/// The holder's side of all claims.
+/// The claims of all requests of this host.
 #[derive(Debug, Default)]
 pub struct Claims {
     /// Requests that wait for a claim.
     pub claiming: BTreeMap<RequestId, Request<Claiming>>,
-    /// Claims of requests that wait for a slot or run.
+    /// Granted claims of requests that wait for a slot or run.
     pub held: BTreeMap<RequestId, HeldClaim>,
-    /// Outcomes on their way.
+    /// Outcomes that the keys' owners have not confirmed yet.
     pub unsettled: BTreeMap<RequestId, UnsettledOutcome>,
 }
 
 impl Claims {
-    /// Whether nothing is left to ask for, and to tell nothing but what was told for
-    /// `patience` without a word back.
+    /// Returns whether no request waits for a claim, and every unconfirmed outcome has
+    /// been waiting for its confirmation for at least `timeout`.
     #[must_use]
-    pub fn is_idle(&self, now: Instant, patience: Duration) -> bool {
-        let is_old = |since: Instant| now.duration_since(since) >= patience;
-        let mut told = self.unsettled.values().map(|kept| kept.since);
-        self.claiming.is_empty() && told.all(|since| since.is_some_and(is_old))
+    pub fn is_idle(&self, now: Instant, timeout: Duration) -> bool {
+        let is_old = |since: Instant| now.duration_since(since) >= timeout;
+        let mut unconfirmed = self.unsettled.values().map(|kept| kept.since);
+        self.claiming.is_empty() && unconfirmed.all(|since| since.is_some_and(is_old))
     }
 }
--- a/crates/jaypin_core/src/config.rs
+++ b/crates/jaypin_core/src/config.rs
@@ -1,51 +1,57 @@
-//! What a host's reducer is told at its start.
+//! Configuration of the reducer.
 
 use std::time::Duration;
 
 use crate::{FailureDomain, HostId, Incarnation};
 
-/// How requests find a backend server.
+/// How a backend server is chosen for a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// One scheduler a shard grants slots; the product's own way.
+    /// One scheduler per shard grants slots; the default.
     #[default]
     Grants,
-    /// Each host alone: the better of two random backend servers by lagging load reports.
+    /// Each host decides alone: of two random backend servers it uses the one with the
+    /// lower reported load. For comparison with `Grants`.
     Baseline,
-    /// Each host alone: a fixed share of each backend server's slots and a queue of its own.
+    /// Each host decides alone: it has a fixed share of each backend server's slots and a
+    /// queue of its own. For comparison with `Grants`.
     Local,
 }
 
-/// Configuration of a reducer, a plain value.
+/// Configuration of a reducer.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This host.
+    /// Id of this host.
     pub host: HostId,
-    /// This run of the host's process.
+    /// Incarnation of this host's process.
     pub incarnation: Incarnation,
-    /// Where the host stands.
+    /// Failure domain of this host.
     pub failure_domain: FailureDomain,
-    /// How requests find a backend server.
+    /// How a backend server is chosen for a request.
     pub policy: Policy,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Backend servers in one shard, at most.
+    /// Maximum number of backend servers in one shard.
     pub shard_size: usize,
-    /// Requests that may wait in one shard; beyond it the lowest tier is shed.
+    /// Maximum number of requests that wait in one shard; beyond it a request of the
+    /// lowest tier is shed.
     pub max_waiting: usize,
-    /// How often load reports are asked for.
+    /// Time between two load polls of a backend server.
     pub report_interval: Duration,
-    /// How long an owner waits for a first word from a shard scheduler.
+    /// How long an owner waits for the first response of a shard scheduler before it asks
+    /// again.
     pub ask_timeout: Duration,
-    /// How long a new shard scheduler collects what owners have in flight.
+    /// How long a new shard scheduler waits at most for the reports of owners and backend
+    /// servers before it grants slots.
     pub rebuild_window: Duration,
-    /// How often partners hear a digest, changed or not.
+    /// Time between two digests to each partner, also when nothing changed.
     pub gossip_interval: Duration,
-    /// How long a suspect may refute before it counts as dead.
+    /// How long a host stays suspect before it is marked dead, unless it refutes.
     pub suspect_timeout: Duration,
-    /// Time between two events after which this process takes itself for paused.
+    /// Time between two events from which on the process assumes that it was paused.
     pub pause_limit: Duration,
-    /// Whether the host is ready only after a peer told its versions.
+    /// Whether the host becomes ready only once a peer confirmed that its versions are
+    /// current, or no peer responded in time.
     pub await_peers: bool,
 }
 
--- a/crates/jaypin_core/src/effect.rs
+++ b/crates/jaypin_core/src/effect.rs
@@ -1,13 +1,14 @@
-//! Everything a host does, as data.
+//! The outputs of the reducer.
 
 use std::sync::Arc;
 
 use crate::{BackendId, GrantNumber, HostId, Message, Record, Refusal, RequestId, StoredAnswer};
 
-/// Something to be done by an adapter.
+/// An action that the reducer requests and an adapter performs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Send the request to a backend server, once.
+    /// Send a request to a backend server. Each request is dispatched at most once unless
+    /// the connection failed before a byte of it was sent.
     Dispatch {
         /// The request.
         id: RequestId,
@@ -15,21 +16,23 @@
         backend: BackendId,
         /// Its HTTP address.
         address: String,
-        /// Number of the grant, for backend servers that check fencing numbers.
+        /// Number of the grant, as the fencing number for backend servers that check it;
+        /// none without a grant.
         fence: Option<GrantNumber>,
     },
-    /// Answer the caller with a refusal.
+    /// Send a refusal to the caller.
     Refuse {
         /// The request.
         id: RequestId,
-        /// The answer.
+        /// The refusal.
         refusal: Refusal,
     },
-    /// Answer the caller with the answer that its key's call got before.
+    /// Send the caller the stored response of the earlier call with the same idempotency
+    /// key.
     Replay {
         /// The request.
         id: RequestId,
-        /// The answer.
+        /// The stored response.
         answer: StoredAnswer,
     },
     /// Stop a running call at the backend server.
@@ -38,29 +41,29 @@
     Send {
         /// The peer.
         to: HostId,
-        /// What to say.
+        /// The message.
         message: Message,
     },
-    /// Ask a backend server for its load.
+    /// Request a load report from a backend server.
     PollLoad {
         /// The backend server.
         backend: BackendId,
         /// Its HTTP address.
         address: String,
     },
-    /// Keep links to these peers, whether or not there is something to say.
+    /// Keep links to these peers open, also while there are no messages to send.
     KeepLinks(Vec<HostId>),
-    /// Watch the platform, or leave that to others.
+    /// Start or stop watching the platform for changes.
     WatchPlatform(bool),
-    /// Read a rule file that a peer sent.
+    /// Parse a rule file that a peer sent.
     ParseRules {
         /// Its version.
         version: u64,
         /// The file.
         text: Arc<str>,
     },
-    /// Write a step of a decision down.
+    /// Record a step of a decision.
     Record(Record),
-    /// Nothing is left to do; the process may end.
+    /// The shutdown is complete; the process may exit.
     Exit,
 }
--- a/crates/jaypin_core/src/event.rs
+++ b/crates/jaypin_core/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen to a host, as data.
+//! The inputs of the reducer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,81 +9,82 @@
     BackendId, HostId, HostList, Incarnation, Message, RequestId, RequestInfo, StoredAnswer,
 };
 
-/// Something that happened.
+/// An input of the reducer.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A caller's request was read and its caller is known.
+    /// A caller's request was read and its caller authenticated.
     Arrived(RequestInfo),
     /// The caller closed its connection.
     CallerDisconnected(RequestId),
-    /// A dispatched call went on.
+    /// A dispatched call made progress.
     Call {
         /// The request.
         id: RequestId,
-        /// How far it is.
+        /// The step that it reached.
         progress: CallProgress,
     },
-    /// A call that may not be repeated was answered; told before its caller is.
+    /// The response to a call with an idempotency key was received. This event comes
+    /// before the response is sent to the caller.
     KeyedCallAnswered {
         /// The request.
         id: RequestId,
-        /// The answer, if it is small enough to be kept.
+        /// The response, if it is small enough to be stored.
         answer: Option<StoredAnswer>,
     },
-    /// A backend server reported its load, with a lag.
+    /// A backend server reported its load; the figures may be outdated.
     Load(LoadReport),
     /// A peer sent a message.
     Link {
         /// The peer, authenticated by its link.
         from: HostId,
-        /// What it said.
+        /// The message.
         message: Message,
     },
-    /// A peer's link was lost and a new one is refused: its process is gone.
+    /// A peer's link was lost and a new connection is refused, so its process has exited.
     PeerExited(HostId),
-    /// Nothing is heard of a peer, on an old link or a new one.
+    /// Nothing is received from a peer, neither on the existing link nor on a new one.
     PeerUnresponsive(HostId),
-    /// A link to a peer was made; both ends proved themselves.
+    /// A link to a peer was established and both ends authenticated.
     PeerConnected {
         /// The peer.
         host: HostId,
-        /// The run of its process.
+        /// Incarnation of its process.
         incarnation: Incarnation,
     },
     /// The platform's host list was read.
     Hosts(HostList),
-    /// A version of the rules was read.
+    /// A version of the rules was parsed.
     Rules {
         /// The version.
         version: u64,
         /// The rules.
         rules: Arc<RuleSet>,
     },
-    /// The text of a version of the rules, kept for peers.
+    /// The text of a version of the rules was read; it is kept for peers that fetch it.
     RuleText {
         /// The version.
         version: u64,
         /// The file as its author wrote it.
         text: Arc<str>,
     },
-    /// The host shall finish what it has and leave.
+    /// The host is asked to shut down: it finishes its requests and accepts no new ones.
     Drain,
-    /// Time went on.
+    /// Time passed; sent at a fixed interval.
     Tick,
 }
 
-/// How far a dispatched call is.
+/// A step of a dispatched call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallProgress {
     /// The connection failed before a byte of the request was sent.
     NotSent,
-    /// The first bytes left.
+    /// The first bytes of the request were sent.
     Sent,
-    /// The first token, or the head of a plain answer, came.
+    /// The first token of a stream, or the header of a plain response, was received.
     FirstToken,
-    /// It ended.
+    /// The call ended.
     Finished {
-        /// Tokens that came.
+        /// Number of received tokens.
         tokens: u32,
         /// How it ended.
         outcome: CallOutcome,
@@ -93,29 +94,29 @@
 /// How a dispatched call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The whole answer was passed on.
+    /// The complete response was forwarded to the caller.
     Complete,
-    /// The connection broke off or went silent for good.
+    /// The connection was closed early, or no more data was received until the timeout.
     ConnectionLost,
-    /// The backend server went down under it.
+    /// The backend server crashed during the call.
     BackendCrashed,
-    /// The backend server answered with an error.
+    /// The backend server responded with an error.
     Failed,
-    /// The caller left.
+    /// The caller disconnected.
     Cancelled,
 }
 
-/// What a backend server says of its load.
+/// The load that a backend server reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadReport {
     /// The backend server.
     pub backend: BackendId,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting inside it.
+    /// Number of requests in its own queue.
     pub waiting: u32,
-    /// Whether it says of itself that it is leaving.
+    /// Whether it reports that it is shutting down.
     pub leaving: bool,
-    /// How old the figures are, as far as it says.
+    /// Age of the figures, as reported by the backend server.
     pub age: Duration,
 }
--- a/crates/jaypin_core/src/message.rs
+++ b/crates/jaypin_core/src/message.rs
@@ -1,4 +1,4 @@
-//! What hosts say to each other.
+//! Messages that hosts exchange over their peer links.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,184 +8,195 @@
     KeyOutcome, Member, Refusal, RequestId, Shard,
 };
 
-/// Number of a grant: greater is later, across runs of a shard scheduler's host.
+/// Number of a grant. A later grant has a greater number, also after the host of the
+/// shard scheduler restarted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GrantNumber {
-    /// When the shard scheduler began, in milliseconds since the Unix epoch by its
+    /// Start time of the shard scheduler, in milliseconds since the Unix epoch by its
     /// host's clock.
     pub incarnation: Incarnation,
-    /// Count within that run.
+    /// Count of the grants of that scheduler.
     pub sequence: u64,
 }
 
 /// A message between two hosts.
+///
+/// The owner of a request is the host that accepted it from the caller. A shard
+/// scheduler grants the slots of one shard, on the host that leads the shard.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// Owner to shard scheduler: a slot, please.
+    /// Owner to shard scheduler: requests a slot.
     Ask(Ask),
-    /// Shard scheduler to owner: the request waits.
+    /// Shard scheduler to owner: the request is queued.
     Queued {
         /// The request.
         id: RequestId,
-        /// The ask that is answered.
+        /// Number of the ask that this message answers.
         attempt: u32,
-        /// Wait of another request of its tier in this shard, as a hint.
+        /// Expected wait of a further request of this tier in this shard, as a hint.
         expected_wait: Duration,
     },
-    /// Shard scheduler to owner: a slot.
+    /// Shard scheduler to owner: grants a slot.
     Grant(Grant),
-    /// Shard scheduler to owner: given up on.
+    /// Shard scheduler to owner: refuses the request.
     Refused {
         /// The request.
         id: RequestId,
-        /// The ask that is answered.
+        /// Number of the ask that this message answers.
         attempt: u32,
-        /// The final answer.
+        /// The refusal, with its reason.
         refusal: Refusal,
-        /// Wait of another request of its tier in this shard, as a hint.
+        /// Expected wait of a further request of this tier in this shard, as a hint.
         expected_wait: Duration,
     },
-    /// To an owner: this host does not lead that shard.
+    /// To an owner: the sender does not lead the shard that it was asked for.
     NotLeader {
         /// The request.
         id: RequestId,
-        /// The ask that is answered.
+        /// Number of the ask that this message answers.
         attempt: u32,
     },
-    /// Owner to shard scheduler: the request is not wanted any more.
+    /// Owner to shard scheduler: cancels a request that waits for a slot.
     Withdraw {
         /// The shard.
         shard: Shard,
         /// The request.
         id: RequestId,
     },
-    /// Owner to shard scheduler: what became of a slot.
+    /// Owner to shard scheduler: reports what happened to a granted slot.
     Progress {
         /// The shard.
         shard: Shard,
         /// The request.
         id: RequestId,
-        /// The grant.
+        /// Number of the grant.
         number: GrantNumber,
-        /// What became of it.
+        /// What happened to the slot.
         progress: SlotProgress,
     },
-    /// Shard scheduler to owner: is this grant still in use? An owner that does not hold
-    /// it answers with [`SlotProgress::Returned`].
+    /// Shard scheduler to owner: checks whether a grant is still in use. An owner that
+    /// does not hold it responds with [`SlotProgress::Returned`].
     Confirm {
         /// The shard.
         shard: Shard,
         /// The request.
         id: RequestId,
-        /// The grant.
+        /// Number of the grant.
         number: GrantNumber,
     },
-    /// Shard scheduler to the keeper of an account's limits: what was asked here.
+    /// Shard scheduler to the host that splits an account's limits: reports the account's
+    /// demand in the shard.
     Usage {
         /// The shard.
         shard: Shard,
         /// The account.
         account: AccountId,
-        /// Tokens asked for since the last such message.
+        /// Estimated tokens that were requested since the last such message.
         tokens: f64,
-        /// Most requests that ran or wanted to run at once since then.
+        /// Highest number of requests that ran or were ready to run at once since then.
         at_once: u32,
     },
-    /// Keeper of an account's limits to a shard scheduler: what it may use of them.
+    /// Host that splits an account's limits to a shard scheduler: the part of the limits
+    /// that the shard may use.
     Allow {
         /// The shard.
         shard: Shard,
         /// The account.
         account: AccountId,
-        /// What it may use.
+        /// The shard's part of the limits.
         allowance: Allowance,
     },
-    /// Owner to a new shard scheduler: what this owner has running there.
+    /// Owner to a new shard scheduler: the owner's running requests in the shard.
     InFlight {
         /// The shard.
         shard: Shard,
-        /// The running requests.
+        /// The running requests; may be empty.
         running: Vec<InFlight>,
     },
-    /// Owner to shard scheduler: a call was lost because its backend server died.
+    /// Owner to shard scheduler: a call was lost because its backend server crashed.
     BackendCrashed {
         /// The backend server.
         backend: BackendId,
-        /// The call.
+        /// The lost call.
         lost: Lost,
     },
-    /// To a partner: a fingerprint under which backend servers died.
+    /// To a partner: a request fingerprint during whose calls backend servers crashed.
     CrashCount {
-        /// The fingerprint.
+        /// Fingerprint of the content, salted by account.
         fingerprint: u64,
-        /// Strikes against it.
+        /// Number of crashes that are attributed to it.
         crash_count: u32,
     },
-    /// To the host that a key names: may this request run?
+    /// To the owner of an idempotency key, the host that the key names: claims the key for
+    /// a request.
     Claim {
-        /// The key, as the caller gave it.
+        /// The key, as the caller sent it.
         key: Arc<str>,
         /// The request.
         id: RequestId,
-        /// What the key is used for.
+        /// The call that the key is used for.
         subject: ClaimSubject,
     },
-    /// From a key's owner: the answer to a claim.
+    /// From a key's owner: whether a claim is granted.
     Claimed {
         /// The key.
         key: Arc<str>,
         /// The request.
         id: RequestId,
-        /// The answer.
+        /// The decision.
         verdict: ClaimVerdict,
     },
-    /// To a key's owner: what became of a claimed call; repeated until confirmed.
+    /// To a key's owner: the outcome of a claimed call; resent until it is confirmed.
     Settle {
         /// The key.
         key: Arc<str>,
         /// The request.
         id: RequestId,
-        /// What became of it.
+        /// The outcome.
         outcome: KeyOutcome,
     },
-    /// From a key's owner: the outcome arrived.
+    /// From a key's owner: confirms that the outcome was received.
     Settled {
         /// The request.
         id: RequestId,
     },
-    /// From a key's owner to a claim's holder: does the request still hold it?
+    /// From a key's owner to the holder of a claim: checks whether the request still holds
+    /// it.
     ClaimCheck {
         /// The key.
         key: Arc<str>,
         /// The request.
         id: RequestId,
     },
-    /// To a partner, about once a second and at every change: what the sender has.
+    /// To a partner, in every gossip round and at every change: the versions that the
+    /// sender has.
     Digest(Digest),
-    /// To a peer that has something newer: send it.
+    /// To a peer that has newer versions: requests their contents.
     Fetch {
-        /// The rule file.
+        /// Whether the rule file is requested.
         rules: bool,
-        /// The host list.
+        /// Whether the host list is requested.
         hosts: bool,
     },
-    /// The rule file that was asked for.
+    /// The requested rule file.
     RuleText {
-        /// Its version.
+        /// Version of the rules.
         version: u64,
         /// The file as its author wrote it.
         text: Arc<str>,
     },
-    /// The host list that was asked for.
+    /// The requested host list.
     Hosts(HostList),
-    /// To a peer whose table differs: hashes of the sender's buckets.
+    /// To a peer whose membership table differs: hashes of the buckets of the sender's
+    /// table.
     Buckets(Vec<u64>),
-    /// Entries of the sender's table.
+    /// Entries of the sender's membership table.
     Members {
         /// The entries.
         entries: Vec<(HostId, Member)>,
-        /// Buckets of which these are all entries, and of which the receiver sends back
-        /// what the sender lacks; none for mere news.
+        /// Buckets of which `entries` holds all entries. The receiver sends back the
+        /// entries of these buckets that the sender lacks. Empty when the message only
+        /// carries changes.
         complete_buckets: Vec<u8>,
     },
 }
@@ -195,41 +206,42 @@
 pub struct Lost {
     /// Fingerprint of its content, salted by account.
     pub fingerprint: u64,
-    /// Whether a first token had come.
+    /// Whether its first token had been received.
     pub had_first_token: bool,
 }
 
-/// What a host has, in a few bytes; contents follow on demand.
+/// Versions and table hash of a host, for comparison with a peer's. Contents are fetched
+/// only when they differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Digest {
     /// Version of the rules.
     pub rules_version: u64,
     /// Version of the host list.
     pub hosts_version: u64,
-    /// Hash of the table of hosts.
+    /// Hash of the membership table.
     pub members: u64,
 }
 
-/// What a shard scheduler has to know of a request.
+/// A request for a slot, with what the shard scheduler needs to know.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Ask {
-    /// The shard asked.
+    /// The shard whose scheduler is asked.
     pub shard: Shard,
     /// The request.
     pub id: RequestId,
-    /// Number of the ask, echoed in the answer.
+    /// Number of this ask, counted per request from 1 and echoed in the response.
     pub attempt: u32,
     /// Rank of its tier.
     pub tier: u8,
     /// Its client account.
     pub account: AccountId,
-    /// Estimated tokens of the prompt.
+    /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that the answer may have.
+    /// Maximum length of the response, in tokens.
     pub max_tokens: u32,
-    /// Time left for the first token.
+    /// Time left until the first token is due.
     pub first_token_due_in: Duration,
-    /// Time left for the whole answer.
+    /// Time left until the complete response is due.
     pub response_due_in: Duration,
     /// Fingerprints of the prompt's prefixes, shortest first, salted by account.
     pub prefixes: Vec<u64>,
@@ -242,19 +254,19 @@
     pub shard: Shard,
     /// The request.
     pub id: RequestId,
-    /// The ask that is answered.
+    /// Number of the ask that this grant answers.
     pub attempt: u32,
     /// The grant's number.
     pub number: GrantNumber,
     /// The backend server.
     pub backend: BackendId,
-    /// What was weighed, the chosen one first; for explanations.
+    /// Backend servers that were considered, the chosen one first; for explanations.
     pub candidates: Vec<Candidate>,
-    /// How long it waited, as a hint for other requests of its tier.
+    /// Time that the request waited, as a hint for other requests of its tier.
     pub expected_wait: Duration,
 }
 
-/// A backend server that was weighed for a request.
+/// A backend server that was considered for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
     /// The backend server.
@@ -267,25 +279,25 @@
     pub limit: u32,
 }
 
-/// What became of a granted slot.
+/// What happened to a granted slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotProgress {
     /// The owner did not use it.
     Returned,
-    /// The backend server could not be reached; no byte left.
+    /// The connection to the backend server failed; no byte of the request was sent.
     NotReached,
-    /// The first token came.
+    /// The first token was received.
     FirstToken {
-        /// Time from dispatch.
+        /// Time since dispatch.
         after: Duration,
     },
     /// The call ended.
     Finished {
-        /// Tokens that came.
+        /// Number of received tokens.
         tokens: u32,
-        /// Time from dispatch.
+        /// Time since dispatch.
         after: Duration,
-        /// Whether the backend server broke off.
+        /// Whether the connection to the backend server was lost.
         lost: bool,
     },
 }
@@ -295,7 +307,7 @@
 pub struct InFlight {
     /// The request.
     pub id: RequestId,
-    /// The grant it runs on.
+    /// Number of the grant that it runs on.
     pub number: GrantNumber,
     /// The backend server.
     pub backend: BackendId,
@@ -303,8 +315,8 @@
     pub account: AccountId,
     /// Rank of its tier.
     pub tier: u8,
-    /// Estimated tokens of the prompt.
+    /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that the answer may have.
+    /// Maximum length of the response, in tokens.
     pub max_tokens: u32,
 }
--- a/crates/jaypin_core/src/message_bounds.rs
+++ b/crates/jaypin_core/src/message_bounds.rs
@@ -1,22 +1,23 @@
-//! Bounds on what a peer may say before any decision rests on it.
+//! Bounds on the values in a peer's message, applied before any decision uses them.
 
 use std::time::Duration;
 
 use crate::{Allowance, Ask, InFlight, Message, SlotProgress};
 
-/// Longest time that any decision reckons with.
+/// Longest duration that a message may carry.
 const MAX_TIME: Duration = Duration::from_hours(24);
-/// Most tokens of a prompt or an answer that any decision reckons with.
+/// Maximum length of a prompt or a response that a message may carry, in tokens.
 const MAX_TOKENS: u32 = 1 << 24;
-/// Most tokens that a shard can have been asked for between two reports.
+/// Maximum demand in one usage report, in tokens.
 const MAX_USAGE: f64 = 1e12;
 
 impl Message {
-    /// Brings values into bounds, or gives nothing when a number is none.
+    /// Clamps durations and token counts to their bounds. Returns `None` when a usage or
+    /// an allowance is out of range or NaN.
     ///
-    /// Guards against a peer of another build or with damaged memory. Its durations
-    /// without end and numbers that are none would overflow in estimates and stop the
-    /// host; within these bounds no sum of them can.
+    /// A peer of another build or with corrupted memory may send extreme durations or
+    /// NaN. These would overflow in the estimates and panic the host; sums of values
+    /// within the bounds can't overflow.
     #[must_use]
     pub fn with_bounds(self) -> Option<Self> {
         match self {
