--- a/crates/jaypin_core/src/host_list.rs
+++ b/crates/jaypin_core/src/host_list.rs
@@ -1,56 +1,56 @@
-//! The platform's lagging list of entry hosts and backend servers.
+//! The platform's list of entry hosts and backend servers, which may be outdated.
 
 use crate::{BackendId, FailureDomain, HostId, ServiceId};
 
-/// Whether a machine is to be given new work.
+/// Whether a machine accepts new work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Presence {
-    /// It takes work.
+    /// It accepts new work.
     #[default]
     Live,
-    /// It finishes what it has and gets nothing new.
+    /// It is shutting down: it finishes its requests and gets no new ones.
     Leaving,
 }
 
 /// One entry host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostRecord {
-    /// Name.
+    /// Id of the host.
     pub id: HostId,
-    /// Address for callers, `IP:port`.
+    /// Address at which it accepts callers, `IP:port`.
     pub address: String,
-    /// Address for peer links, `IP:port`.
+    /// Address at which it accepts peer links, `IP:port`.
     pub link: String,
-    /// Where it stands.
+    /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Whether it takes work.
+    /// Whether it accepts new work.
     pub presence: Presence,
 }
 
 /// One backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendRecord {
-    /// Name.
+    /// Id of the backend server.
     pub id: BackendId,
     /// Its HTTP address, `IP:port`.
     pub address: String,
     /// The service it belongs to.
     pub service: ServiceId,
-    /// Where it stands.
+    /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Whether it takes work.
+    /// Whether it accepts new work.
     pub presence: Presence,
-    /// Requests it can run at once, as its maker states it.
+    /// Number of requests that it can run at once, as its operator states it.
     pub slots: u32,
 }
 
-/// The list as a whole.
+/// A version of the list of entry hosts and backend servers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HostList {
-    /// Version of the list; greater is newer.
+    /// Version of the list; a greater one is newer. 0 before the first list.
     pub version: u64,
-    /// Entry hosts.
+    /// All entry hosts.
     pub hosts: Vec<HostRecord>,
-    /// Backend servers.
+    /// All backend servers.
     pub backends: Vec<BackendRecord>,
 }
--- a/crates/jaypin_core/src/keys.rs
+++ b/crates/jaypin_core/src/keys.rs
@@ -1,8 +1,8 @@
-//! Idempotency keys: their form, and the table that says which may run.
+//! Idempotency keys: their format, and the table that decides which call may run.
 //!
-//! A key names the host and the incarnation that issued its prefix. Only that
-//! process's memory grants a claim on it, so a paused host, a lapsed lease or two
-//! views of the fleet can't make two holders.
+//! A key names the host and the incarnation that issued its prefix. Claims on the key are
+//! granted only from the memory of that process. A paused host, an expired lease or
+//! diverging membership tables therefore can't lead to two holders of the same key.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -10,19 +10,20 @@
 
 use crate::{AccountId, HostId, Incarnation, RequestId};
 
-/// Length of one key period; a whole period is forgotten at once.
+/// Length of a key period. All keys of a period expire together.
 pub const KEY_PERIOD: Duration = Duration::from_mins(1);
-/// Periods that a key is kept for, the running one not counted.
+/// Number of periods that a key is retained for, not counting the current one.
 pub const RETAINED_KEY_PERIODS: u64 = 30;
-/// Most keys in the table.
+/// Maximum number of keys in the table.
 pub const MAX_KEYS: usize = 50_000;
-/// Most keys of one client account in the table.
+/// Maximum number of keys of one client account in the table.
 pub const MAX_KEYS_PER_ACCOUNT: usize = MAX_KEYS / 4;
-/// Largest answer that is kept for replay, in bytes.
+/// Maximum size of a response that is stored for replay, in bytes.
 pub const MAX_STORED_ANSWER_BYTES: usize = 16 * 1024;
-/// Bytes of answers kept for replay, over all keys; older ones go first.
+/// Maximum total size of the stored responses of all keys, in bytes. The oldest responses
+/// are removed first.
 pub const MAX_TOTAL_STORED_BYTES: usize = 8 * 1024 * 1024;
-/// Longest part of a key that the caller chooses, in bytes.
+/// Maximum length of the part of a key that the caller chooses, in bytes.
 const MAX_UNIQUE_BYTES: usize = 64;
 
 /// A parsed idempotency key: `<host>-<incarnation>.<period>-<unique>`.
@@ -30,16 +31,16 @@
 pub struct IdempotencyKey {
     /// The host that issued the prefix.
     pub host: HostId,
-    /// The run of that host's process.
+    /// Incarnation of that host's process.
     pub incarnation: Incarnation,
-    /// Key period of that run in which the prefix was issued.
+    /// Key period of that process in which the prefix was issued.
     pub period: u64,
-    /// The part that the caller chose.
+    /// The part that the caller chose, unique per call.
     pub unique: Arc<str>,
 }
 
 impl IdempotencyKey {
-    /// Reads a key; gives nothing when it has another form.
+    /// Parses a key. Returns `None` when the text has another format.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let (issuer, own) = text.rsplit_once('.')?;
@@ -58,14 +59,14 @@
         })
     }
 
-    /// The prefix that a caller completes with a part of its own.
+    /// Returns the prefix that a caller completes with a unique part of its own.
     #[must_use]
     pub fn prefix(host: &str, incarnation: Incarnation, period: u64) -> String {
         format!("{host}-{incarnation}.{period}-")
     }
 }
 
-/// What a claim is for; the same key for something else is refused.
+/// The call that a key is used for. Using the same key for another call is refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimSubject {
     /// The client account.
@@ -74,47 +75,47 @@
     pub fingerprint: u64,
 }
 
-/// An answer kept for replay.
+/// A response that is stored for replay.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Content type, empty when there was none.
+    /// Content type; empty when the response had none.
     pub content_type: Arc<str>,
-    /// The body.
+    /// Body of the response.
     pub body: Arc<[u8]>,
 }
 
-/// What became of a claimed call.
+/// Outcome of a claimed call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyOutcome {
-    /// No byte of it left: the claim is given back.
+    /// No byte of it was sent to a backend server; the claim is released.
     NotRun,
-    /// It was answered; the answer, if it was small enough to keep.
+    /// A response was received. Holds the response if it is small enough to store.
     Answered(Option<StoredAnswer>),
-    /// It left and what became of it is not known.
+    /// It was sent, and whether it ran is not known.
     Unknown,
 }
 
-/// Answer of a key's owner to a claim.
+/// Decision of a key's owner on a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// The call may run, this once.
+    /// The call may run, once.
     Granted,
     /// Another request holds the claim.
     InFlight,
-    /// The call was answered; the answer, if it is still kept.
+    /// A response was received before. Holds the response if it is still stored.
     Done(Option<StoredAnswer>),
-    /// Whether the call ran can't be known; it won't be run.
+    /// Whether the call ran can't be known, so it is not run.
     Unknown,
-    /// The key belongs to another call.
+    /// The key was used for another call.
     Mismatch,
-    /// The table is full; nothing was claimed.
+    /// The table has no room for another key; the claim is not granted.
     Full,
 }
 
 impl ClaimVerdict {
-    /// The word that logs see.
+    /// Returns the name of the decision that is written to logs.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -138,15 +139,16 @@
 enum State {
     /// A request holds the claim.
     ChangeStatus { host: HostId, id: RequestId },
-    /// Its holder can't be reached; only its own word may still settle it.
+    /// The holder can't be reached. Only an outcome that the holder reports may still
+    /// settle the claim.
     Orphaned { id: RequestId },
-    /// It was answered.
+    /// A response was received.
     Answered(Option<StoredAnswer>),
-    /// It left and what became of it is not known.
+    /// It was sent, and whether it ran is not known.
     Unknown,
 }
 
-/// The keys that one run of one host owns.
+/// The claims on the keys that this host's process issued.
 #[derive(Debug, Default)]
 pub struct KeyTable {
     started: Option<Instant>,
@@ -159,22 +161,21 @@
 }
 
 impl KeyTable {
-    // ------------------------------------------------------------------ time
-
-    /// The running key period.
+    /// Updates and returns the current key period. Periods count from the first call.
     pub fn period(&mut self, now: Instant) -> u64 {
         let started = *self.started.get_or_insert(now);
         self.newest = now.duration_since(started).as_secs() / KEY_PERIOD.as_secs();
         self.newest
     }
 
-    /// The period that was running when the table was last looked at.
+    /// Returns the key period as of the last update.
     #[must_use]
     pub fn newest_period(&self) -> u64 {
         self.newest
     }
 
-    /// Forgets periods beyond the horizon; their keys are refused from then on.
+    /// Removes the periods that are no longer retained. Claims on their keys are not
+    /// granted any more.
     pub fn expire(&mut self, now: Instant) {
         let oldest = self.period(now).saturating_sub(RETAINED_KEY_PERIODS);
         while let Some(first) = self.periods.first_entry() {
@@ -191,9 +192,7 @@
         }
     }
 
-    // ------------------------------------------------------------------ claims
-
-    /// Answers a claim of a key that this process issued.
+    /// Decides on a claim on a key that this process issued, by request `id` of `host`.
     pub fn claim(
         &mut self,
         now: Instant,
@@ -203,12 +202,12 @@
         id: &RequestId,
     ) -> ClaimVerdict {
         let newest = self.period(now);
-        // Guards against a second run after the table forgot the first: a key of a
-        // forgotten period, or of one that was never issued, is not granted.
+        // A key of an expired period may have run before its entry was removed, so it is
+        // not granted. Neither is a key of a period that has not begun.
         if key.period > newest || key.period < newest.saturating_sub(RETAINED_KEY_PERIODS) {
             return ClaimVerdict::Unknown;
         }
-        // One account that sends keys without end must leave room for the others.
+        // The limit per account keeps one account from using up the whole table.
         let held_by_account = self.by_account.get(&subject.account).copied();
         let full = self.count >= MAX_KEYS || held_by_account >= Some(MAX_KEYS_PER_ACCOUNT);
         let period = self.periods.entry(key.period).or_default();
@@ -235,10 +234,8 @@
             return ClaimVerdict::Mismatch;
         }
         match &entry.state {
-            // The holder asks again because it never got the first answer.
-            State::ChangeStatus { id: holder, .. } | State::Orphaned { id: holder }
-                if holder == id =>
-            {
+            // The holder resends its claim when it did not receive the first response.
+            State::ChangeStatus { id: holder, .. } | State::Orphaned { id: holder } if holder == id => {
                 entry.state = held;
                 ClaimVerdict::Granted
             }
@@ -248,7 +245,8 @@
         }
     }
 
-    /// The host and request that hold a key's claim.
+    /// Returns the host and the request that hold the claim on a key; none when the claim
+    /// is not held or the holder can't be reached.
     #[must_use]
     pub fn holder(&self, key: &IdempotencyKey) -> Option<(&HostId, &RequestId)> {
         match &self.periods.get(&key.period)?.get(&key.unique)?.state {
@@ -257,7 +255,7 @@
         }
     }
 
-    /// Takes the holder's word on what became of the call.
+    /// Records the outcome of a claimed call, if request `id` holds the claim.
     pub fn settle(&mut self, key: &IdempotencyKey, id: &RequestId, outcome: KeyOutcome) {
         let Some(period) = self.periods.get_mut(&key.period) else {
             return;
@@ -295,8 +293,11 @@
         }
     }
 
-    /// Guards against a claim whose holder died between claim and answer: it shows as
-    /// a lost peer, and the key is never granted again, as the call may have run.
+    /// Marks the claims held by a host that can't be reached.
+    ///
+    /// The holder may have exited between claim and response, so the call may have run.
+    /// The key is not granted to another request, unless the holder reports that it did
+    /// not run.
     pub fn orphan(&mut self, lost: &HostId) {
         let entries = self.periods.values_mut().flat_map(BTreeMap::values_mut);
         for entry in entries {
@@ -308,8 +309,6 @@
         }
     }
 
-    // ------------------------------------------------------------------ inside
-
     fn drop_oldest_answer(&mut self) {
         let Some((period, unique, bytes)) = self.answers.pop_front() else {
             return;
--- a/crates/jaypin_core/src/limit_keeper.rs
+++ b/crates/jaypin_core/src/limit_keeper.rs
@@ -1,4 +1,4 @@
-//! Splits the limits of client accounts between the shards that the account uses.
+//! Splits the limits of a client account among the shards that the account uses.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -7,18 +7,19 @@
 
 use crate::{AccountId, Allowance, Shard};
 
-/// Time over which use is averaged.
+/// Time constant of the exponential average of the token demand.
 const AVERAGING_TIME: Duration = Duration::from_secs(3);
-/// Time after which a shard that told nothing has no part any more.
+/// Time after its last report from which on a shard gets no part of the limits.
 const USAGE_EXPIRY: Duration = Duration::from_secs(10);
 
-/// What this host keeps of the accounts whose limits it splits; only active ones.
+/// Reported demand of the client accounts whose limits this host splits. Accounts without
+/// a recent report are removed.
 #[derive(Debug, Default)]
 pub struct LimitKeeper {
     accounts: HashMap<AccountId, BTreeMap<Shard, ShardUsage>>,
 }
 
-/// What a shard told.
+/// Demand of an account that a shard last reported.
 #[derive(Debug, Clone, Copy)]
 struct ShardUsage {
     tokens: f64,
@@ -38,7 +39,11 @@
 }
 
 impl LimitKeeper {
-    /// Takes a shard's use of an account; gives what the shard may use of the limits.
+    /// Records an account's demand in a shard, and returns the part of the account's limits
+    /// that the shard may use.
+    ///
+    /// `tokens` is the demand since the shard's last report, `at_once` the highest number
+    /// of requests that ran or were ready to run at once.
     pub fn record_usage(
         &mut self,
         rule: &LimitRule,
@@ -73,15 +78,16 @@
         }
     }
 
-    /// Drops accounts that no shard uses any more.
+    /// Removes accounts of which no shard reported demand recently.
     pub fn remove_expired(&mut self, now: Instant) {
         self.accounts
             .retain(|_, shards| shards.values().any(|other| !other.is_expired(now)));
     }
 }
 
-/// A shard's part of a limit: its use and an equal part of what is left, or, beyond the
-/// limit, its proportion.
+/// Returns a shard's part of a limit. Within the limit, that is its own demand plus an
+/// equal share of the unused rest. When the demand `all` of all `count` shards exceeds the
+/// limit, it is the part of the limit that is proportional to the shard's demand.
 fn shard_limit(limit: f64, own: f64, all: f64, count: f64) -> f64 {
     if all <= limit {
         own + (limit - all) / count
--- a/crates/jaypin_core/src/member.rs
+++ b/crates/jaypin_core/src/member.rs
@@ -1,4 +1,4 @@
-//! One host as the fleet sees it, and the table of all of them.
+//! Membership status of one host, and the table of all hosts.
 
 use std::collections::BTreeMap;
 
@@ -6,24 +6,26 @@
 
 use crate::{HostId, Incarnation};
 
-/// Buckets that the table is compared by; differing ones are exchanged whole.
+/// Number of buckets of the membership table. Peers compare tables by bucket hashes and
+/// exchange all entries of the buckets that differ.
 pub const BUCKET_COUNT: usize = 16;
 
-/// What is believed of a host; a later one outweighs an earlier one.
+/// Status of a host. Of two entries with the same incarnation and revision, the one with
+/// the later variant here is newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberStatus {
-    /// It takes work.
+    /// It accepts new work.
     Alive,
-    /// It finishes what it has.
+    /// It is shutting down: it finishes its requests and accepts no new work.
     Leaving,
-    /// A peer hears nothing from it.
+    /// A peer receives nothing from it.
     Suspect,
-    /// Its process is gone.
+    /// Its process has exited, or it stayed suspect until the timeout.
     Dead,
 }
 
 impl MemberStatus {
-    /// The status in one word.
+    /// Returns the name of the status.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -35,20 +37,20 @@
     }
 }
 
-/// The entry of one host. The greater of two entries is the newer one, on every host,
-/// so that tables converge in whatever order entries arrive.
+/// Entry of one host in the membership table. The greater of two entries is the newer
+/// one on every host, so tables converge in whatever order entries arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Member {
-    /// Run of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Raised by the host itself when it learns that it was taken for gone.
+    /// Number that the host itself raises to refute that it is suspect or dead.
     pub revision: u32,
-    /// What is believed of it.
+    /// Status of the host.
     pub status: MemberStatus,
 }
 
 impl Member {
-    /// The entry of a process that just started.
+    /// Creates the entry of a process that just started.
     #[must_use]
     pub fn alive(incarnation: Incarnation) -> Self {
         Self {
@@ -58,13 +60,13 @@
         }
     }
 
-    /// The same run with another status.
+    /// Returns the entry with another status.
     #[must_use]
     pub fn with_status(self, status: MemberStatus) -> Self {
         Self { status, ..self }
     }
 
-    /// Whether a peer believes it to be gone.
+    /// Returns whether the host is suspect or dead.
     #[must_use]
     pub fn is_suspected(&self) -> bool {
         self.status >= MemberStatus::Suspect
@@ -77,7 +79,7 @@
     }
 }
 
-/// What is believed of every host that was heard of.
+/// Entries of all hosts that this host received an entry for, or created one for.
 #[derive(Debug, Clone, Default)]
 pub struct MemberTable {
     entries: BTreeMap<HostId, Member>,
@@ -85,7 +87,8 @@
 }
 
 impl MemberTable {
-    /// Takes an entry; says whether it is new or newer.
+    /// Applies an entry if it is newer than the one in the table. Returns whether the
+    /// table changed.
     pub fn apply(&mut self, host: &HostId, member: Member) -> bool {
         let known = self.entries.get(host);
         if known.is_some_and(|known| *known >= member) {
@@ -99,18 +102,18 @@
         true
     }
 
-    /// The entry of a host.
+    /// Returns the entry of a host; none when the host is unknown.
     #[must_use]
     pub fn get(&self, host: &str) -> Option<Member> {
         self.entries.get(host).copied()
     }
 
-    /// All entries.
+    /// Iterates over all entries, ordered by host id.
     pub fn iter(&self) -> impl Iterator<Item = (&HostId, &Member)> {
         self.entries.iter()
     }
 
-    /// Drops entries that are of no use any more.
+    /// Removes the entries for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&HostId, &Member) -> bool) {
         let hashes = &mut self.bucket_hashes;
         self.entries.retain(|host, member| {
@@ -122,13 +125,13 @@
         });
     }
 
-    /// Hashes of the buckets; equal tables have equal ones.
+    /// Returns one hash per bucket; equal tables have equal hashes.
     #[must_use]
     pub fn bucket_hashes(&self) -> [u64; BUCKET_COUNT] {
         self.bucket_hashes
     }
 
-    /// Hash of the whole table.
+    /// Returns the hash of all entries; equal tables have equal hashes.
     #[must_use]
     pub fn hash(&self) -> u64 {
         self.bucket_hashes
@@ -136,7 +139,7 @@
             .fold(0, |all, bucket| all ^ bucket)
     }
 
-    /// Entries of some buckets.
+    /// Returns the entries of the given buckets.
     #[must_use]
     pub fn in_buckets(&self, buckets: &[u8]) -> Vec<(HostId, Member)> {
         self.entries
@@ -147,7 +150,7 @@
     }
 }
 
-/// Bucket of a host in the table.
+/// Returns the number of the bucket that holds a host's entry.
 #[must_use]
 pub fn bucket_number(host: &str) -> u8 {
     u8::try_from(bucket_index(host)).unwrap_or_default()
--- a/crates/jaypin_core/src/membership.rs
+++ b/crates/jaypin_core/src/membership.rs
@@ -1,4 +1,5 @@
-//! Who is there: the host list, corrected by what hosts tell each other.
+//! Membership of the fleet: the platform's host list, corrected by the statuses that hosts
+//! exchange.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,11 +11,12 @@
     ShardMap,
 };
 
-/// Hosts of a failure domain that hold the platform's watches.
+/// Number of hosts per failure domain that watch the platform.
 const WATCHERS_PER_DOMAIN: usize = 2;
 
-/// A leader in one stretch of its leadership. A new run of its process, or a refuted
-/// suspicion, begins a new term: what it knew of its shards is gone.
+/// Leadership term of a shard: the leading host, its incarnation and its revision. A
+/// restart of the host's process or a refuted suspicion begins a new term, in which the
+/// leader has lost its state of the shard.
 pub type Term = (HostId, Incarnation, u32);
 
 /// This host's view of hosts and backend servers.
@@ -30,9 +32,7 @@
 }
 
 impl Membership {
-    // ------------------------------------------------------------------ changes
-
-    /// Takes a newer host list; says whether it was newer.
+    /// Applies a host list if its version is newer. Returns whether it was.
     pub fn update(&mut self, list: HostList, cfg: &Config) -> bool {
         if list.version <= self.list.version {
             return false;
@@ -42,7 +42,7 @@
             .backends
             .iter()
             .enumerate()
-            .map(|(place, backend)| (backend.id.clone(), place))
+            .map(|(index, backend)| (backend.id.clone(), index))
             .collect();
         self.list = list;
         let listed: BTreeSet<&HostId> = self.list.hosts.iter().map(|host| &host.id).collect();
@@ -52,7 +52,7 @@
         true
     }
 
-    /// Takes what is believed of a host; says whether it is news.
+    /// Applies a host's entry if it is newer than the known one. Returns whether it was.
     pub fn apply(&mut self, host: &HostId, member: Member) -> bool {
         let changed = self.table.apply(host, member);
         if changed {
@@ -61,11 +61,12 @@
         changed
     }
 
-    /// Takes what a backend server says of itself; says whether it is news.
+    /// Records whether a backend server reports that it is shutting down. Returns whether
+    /// that changed.
     ///
-    /// Guards against a lagging host list, which goes on naming a leaving server as
-    /// live and would bring new work to it: the server's own word stays until the
-    /// server takes it back.
+    /// A lagging host list may still name a leaving server as live, which would send new
+    /// work to it. The server's own report therefore overrides the list until the server
+    /// revokes it.
     pub fn set_reported_leaving(&mut self, backend: &BackendId, leaving: bool) -> bool {
         if leaving {
             self.reported_leaving.insert(backend.clone())
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Derives what is looked up for each request, once a change.
+    /// Recomputes the leaders after a change, since they are looked up for each request.
     fn recompute(&mut self) {
         self.epoch += 1;
         let live: Vec<HostId> = self.live_hosts().map(|host| host.id.clone()).collect();
@@ -89,33 +90,32 @@
             .collect();
     }
 
-    // ------------------------------------------------------------------ hosts
-
-    /// Counts the changes of this view; equal numbers mean an equal view.
+    /// Returns a counter that grows with each change of the host list or the membership
+    /// table; as long as it is equal, both are unchanged.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether a host list was ever read.
+    /// Returns whether a host list was applied.
     #[must_use]
     pub fn has_host_list(&self) -> bool {
         self.list.version > 0
     }
 
-    /// The host list in use.
+    /// Returns the newest host list; empty, with version 0, before the first one.
     #[must_use]
     pub fn list(&self) -> &HostList {
         &self.list
     }
 
-    /// What is believed of every host that was heard of.
+    /// Returns the membership table.
     #[must_use]
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// Entry hosts that take work.
+    /// Iterates over the entry hosts that accept new work.
     pub fn live_hosts(&self) -> impl Iterator<Item = &HostRecord> {
         self.list.hosts.iter().filter(|host| {
             let status = self.status(&host.id);
@@ -123,8 +123,8 @@
         })
     }
 
-    /// What is believed of a listed host; one that nothing was heard of counts as alive
-    /// until a link to it is refused.
+    /// Returns the status of a listed host. A host without an entry counts as alive until
+    /// a link to it fails.
     #[must_use]
     pub fn status(&self, host: &str) -> MemberStatus {
         self.table
@@ -132,14 +132,14 @@
             .map_or(MemberStatus::Alive, |member| member.status)
     }
 
-    /// Where a host takes links.
+    /// Returns the address at which a host accepts peer links; none when it is not listed.
     #[must_use]
     pub fn link_address(&self, host: &str) -> Option<&str> {
         let record = self.list.hosts.iter().find(|record| &*record.id == host)?;
         Some(&record.link)
     }
 
-    /// The peers that `own` keeps links to.
+    /// Returns the peers that `own` keeps links to.
     #[must_use]
     pub fn partners_of(&self, own: &HostId) -> Vec<HostId> {
         let present: Vec<&HostRecord> = self
@@ -151,56 +151,56 @@
         partners(own, &present)
     }
 
-    /// Whether `own` is one of the few hosts that watch the platform for the others.
+    /// Returns whether `own` is one of the few hosts of its failure domain that watch the
+    /// platform for the others.
     #[must_use]
     pub fn is_watcher(&self, own: &HostId, domain: &str) -> bool {
-        let near = self
+        let candidates = self
             .live_hosts()
             .filter(|host| &*host.failure_domain == domain)
             .map(|host| &*host.id);
-        rank_by_score("platform watch", near)
+        rank_by_score("platform watch", candidates)
             .into_iter()
             .take(WATCHERS_PER_DOMAIN)
             .any(|id| id == &**own)
     }
 
-    // ------------------------------------------------------------------ shards
-
-    /// The shards in use.
+    /// Returns the shards and their backend servers.
     #[must_use]
     pub fn shards(&self) -> &ShardMap {
         &self.shards
     }
 
-    /// The host that leads a shard: the live one that scores highest for it.
+    /// Returns the host that leads a shard: the live host that scores highest for it.
     #[must_use]
     pub fn leader(&self, shard: &Shard) -> Option<&HostId> {
         self.leaders.get(shard)
     }
 
-    /// The leaders of all shards with their terms.
+    /// Returns the current leadership term of each shard that has a leader.
     #[must_use]
     pub fn terms(&self) -> BTreeMap<Shard, Term> {
         self.leaders
             .iter()
             .map(|(shard, leader)| {
-                let run = self.table.get(leader);
+                let member = self.table.get(leader);
                 let (incarnation, revision) =
-                    run.map_or((0, 0), |run| (run.incarnation, run.revision));
+                    member.map_or((0, 0), |member| (member.incarnation, member.revision));
                 (shard.clone(), (leader.clone(), incarnation, revision))
             })
             .collect()
     }
 
-    /// Finds a backend server.
+    /// Returns the record of a backend server; none when it is not listed.
     #[must_use]
     pub fn backend(&self, id: &str) -> Option<&BackendRecord> {
         self.backend_indices
             .get(id)
-            .map(|place| &self.list.backends[*place])
+            .map(|index| &self.list.backends[*index])
     }
 
-    /// A shard's backend servers, leaving ones marked whoever said so.
+    /// Returns the records of a shard's backend servers. A server counts as leaving when
+    /// the host list or the server itself reports it.
     #[must_use]
     pub fn backends_of(&self, shard: &Shard) -> Vec<BackendRecord> {
         let members = self.shards.members(shard);
--- a/crates/jaypin_core/src/partners.rs
+++ b/crates/jaypin_core/src/partners.rs
@@ -1,18 +1,20 @@
-//! Which peers a host keeps a link to: its neighbours in two rings.
+//! Gossip partners: the peers that a host keeps a link to, its neighbours in two rings.
 
 use crate::rendezvous::score;
 use crate::{HostId, HostRecord};
 
-/// Keys of the two orders that hosts stand in.
+/// Rendezvous keys that define the order of the hosts in each ring.
 const RING_KEYS: [&str; 2] = ["first ring", "second ring"];
 
-/// The partners of a host among the hosts that are not gone: four, or fewer in a small
-/// fleet; a fifth when all four stand in the host's own failure domain.
+/// Returns the partners of a host among `hosts`, which are the hosts that are not dead.
 ///
-/// Each ring alone connects all hosts, and neighbourhood is mutual, so both ends keep the
-/// same link. The orders are fixed by the hosts' names: one host more or less moves only
-/// the links next to it. Two orders make ways short, and leave the rest connected when a
-/// failure domain is lost.
+/// A host has four partners, or fewer in a small fleet. It has a fifth one from another
+/// failure domain when all four are in its own.
+///
+/// Each ring alone connects all hosts. Being neighbours is mutual, so both ends keep the
+/// same link. The order in a ring depends only on the hosts' ids, so adding or removing a
+/// host changes only the links next to it. A second ring makes paths short and keeps the
+/// remaining hosts connected when a failure domain is lost.
 #[must_use]
 pub fn partners(own: &HostId, hosts: &[&HostRecord]) -> Vec<HostId> {
     let Some(record) = hosts.iter().find(|host| host.id == *own) else {
@@ -20,33 +22,33 @@
     };
     let mut chosen: Vec<&HostRecord> = Vec::new();
     for ring in RING_KEYS {
-        let after = ring_order(ring, record, hosts);
-        for neighbour in [after.first(), after.last()].into_iter().flatten() {
+        let others = ring_order(ring, record, hosts);
+        for neighbour in [others.first(), others.last()].into_iter().flatten() {
             if !chosen.iter().any(|other| other.id == neighbour.id) {
                 chosen.push(neighbour);
             }
         }
     }
-    let is_far = |host: &&HostRecord| host.failure_domain != record.failure_domain;
-    if !chosen.iter().any(is_far) {
-        let after = ring_order(RING_KEYS[0], record, hosts);
-        chosen.extend(after.into_iter().find(is_far));
+    let is_remote = |host: &&HostRecord| host.failure_domain != record.failure_domain;
+    if !chosen.iter().any(is_remote) {
+        let others = ring_order(RING_KEYS[0], record, hosts);
+        chosen.extend(others.into_iter().find(is_remote));
     }
     chosen.into_iter().map(|host| host.id.clone()).collect()
 }
 
-/// The other hosts in the order of a ring, from the one behind `own` round to the one
-/// before it.
+/// Returns the other hosts in the order of a ring, from the successor of `own` to its
+/// predecessor.
 fn ring_order<'a>(ring: &str, own: &HostRecord, hosts: &[&'a HostRecord]) -> Vec<&'a HostRecord> {
-    let place = |host: &HostRecord| (score(ring, &host.id), host.id.clone());
-    let from = place(own);
+    let position = |host: &HostRecord| (score(ring, &host.id), host.id.clone());
+    let from = position(own);
     let mut others: Vec<&HostRecord> = hosts
         .iter()
         .filter(|host| host.id != own.id)
         .copied()
         .collect();
     others.sort_by_cached_key(|host| {
-        let to = place(host);
+        let to = position(host);
         (to < from, to)
     });
     others
--- a/crates/jaypin_core/src/reducer/arrival.rs
+++ b/crates/jaypin_core/src/reducer/arrival.rs
@@ -1,4 +1,5 @@
-//! A request arrives: it is refused, dispatched by its owner alone, or asks for a slot.
+//! Arrival of a request at its owner: the request is refused, dispatched without a grant, or
+//! waits for a slot that the owner requests from a shard scheduler.
 
 use std::time::{Duration, Instant};
 
@@ -12,15 +13,17 @@
     Ask, Effect, HostId, Message, Policy, Ran, Reason, Refusal, RequestId, RequestInfo, Shard, Step,
 };
 
-/// Longer wait than elsewhere, at least, for which a shard that may hold the prefix is
-/// still the better one.
+/// Minimum extra wait that is accepted in a shard that may have the request's prefix
+/// cached.
 const MIN_AFFINITY_WAIT: Duration = Duration::from_millis(100);
-/// The same as a part of the time to the first token: at full load every shard has
-/// deferrable work waiting, and it would go to and fro.
+/// The accepted extra wait is at least the time limit for the first token divided by this.
+/// At full load every shard has deferrable requests waiting, and a fixed limit would move
+/// such requests back and forth between shards.
 const AFFINITY_WAIT_DIVISOR: u32 = 8;
-/// Shards of a service that are weighed for a request.
+/// Maximum number of shards of a service that are considered for a request.
 const MAX_CANDIDATE_SHARDS: usize = 8;
-/// Shards that may refuse a request for want of capacity before that is final.
+/// Maximum number of shards that refuse a request for lack of capacity before the refusal is
+/// final.
 const MAX_CAPACITY_REFUSALS: usize = 2;
 
 impl Reducer {
@@ -35,8 +38,8 @@
                 let refusal = Refusal::not_run(reason).retry_after(DEFAULT_RETRY_AFTER);
                 return self.refuse(&info, Duration::ZERO, refusal, fx);
             }
-            // A call with a key is refused once the key's owner said that no earlier try
-            // of it ran: see `claim_answered`.
+            // A call with an idempotency key is refused only after the key's owner confirmed
+            // that no earlier attempt ran; see `claim_verdict_received`.
             Some(_) | None => {}
         }
         if !self.start_claim(now, &info, fx) {
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Why this host takes no new work, if it takes none.
+    /// Returns why this host accepts no new work, or `None` if it does.
     pub(super) fn not_serving(&self) -> Option<Reason> {
         if self.rules_version == 0 || !self.membership.has_host_list() || !self.gossip.caught_up {
             Some(Reason::NotReady)
@@ -55,8 +58,9 @@
         }
     }
 
-    /// Finds a slot for a request that may run, unless it is quarantined. A call that may
-    /// not be repeated holds its claim by now, so "not run" is true of its key too.
+    /// Requests a slot for a request that may run, or refuses it if it is quarantined. A
+    /// call that may not be repeated already holds its claim here, so a refusal with "not
+    /// run" holds for its key too.
     pub(super) fn schedule(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
         if let Some(refusal) = self.quarantine_refusal(now, &info) {
             return self.refuse(&info, Duration::ZERO, refusal, fx);
@@ -74,8 +78,8 @@
         fx: &mut Vec<Effect>,
     ) {
         let backends = self.membership.list().backends.iter();
-        let of_service = backends.filter(|record| record.service == info.service);
-        let Some(record) = self.baseline.pick(of_service, &mut self.rng) else {
+        let candidates = backends.filter(|record| record.service == info.service);
+        let Some(record) = self.baseline.pick(candidates, &mut self.rng) else {
             let refusal = Refusal::not_run(Reason::NoBackend).retry_after(DEFAULT_RETRY_AFTER);
             return self.refuse(&info, Duration::ZERO, refusal, fx);
         };
@@ -110,8 +114,8 @@
         self.owner.waiting.insert(request.info.id.clone(), request);
     }
 
-    /// The shard where the request's prefix may be cached, left for another one when
-    /// the wait there outweighs the prefill that the cache saves.
+    /// Returns the shard where the request's prefix may be cached, with its leader. Returns
+    /// another shard when the wait there outweighs the prefill that the cache saves.
     pub(super) fn choose_shard(
         &mut self,
         now: Instant,
@@ -131,17 +135,18 @@
         ranked.truncate(MAX_CANDIDATE_SHARDS);
         let wait = |shard: &Shard| self.shard_hints.wait(shard, info.tier, now);
         let mut shards = ranked.iter().map(|(_, shard)| *shard);
-        // All hosts walk the same order, so a prefix that outgrows one shard is held by
-        // few others.
-        let least = shards.clone().map(wait).min()?;
-        let worth = MIN_AFFINITY_WAIT.max(info.first_token_due_in / AFFINITY_WAIT_DIVISOR);
-        let shard = shards.find(|shard| wait(shard) <= least + worth)?;
+        // All hosts try the shards in the same order, so the requests of a prefix that
+        // exceed one shard's capacity go to a few other shards only.
+        let shortest = shards.clone().map(wait).min()?;
+        let accepted = MIN_AFFINITY_WAIT.max(info.first_token_due_in / AFFINITY_WAIT_DIVISOR);
+        let shard = shards.find(|shard| wait(shard) <= shortest + accepted)?;
         let leader = self.leader(shard)?.clone();
         Some((shard.clone(), leader))
     }
 
-    /// Asks another shard of the service once the first has no capacity: its lower
-    /// tiers may have what this request lacks. Says whether it asked.
+    /// Requests a slot from another shard of the service after the first one refused for
+    /// lack of capacity. The other shard may serve lower tiers whose capacity this request can use.
+    /// Returns whether it requested one.
     pub(super) fn request_slot_elsewhere(
         &mut self,
         now: Instant,
@@ -234,14 +239,17 @@
     }
 }
 
-/// What a request's shard is chosen by; salted by account, as all fingerprints are.
+/// Returns the fingerprint that a request's shard is chosen by: that of its shortest prefix,
+/// salted by account like all fingerprints. None for a request without prefixes.
 fn affinity_key(info: &RequestInfo) -> Option<u64> {
     info.prefixes.first().copied()
 }
 
-/// Guards against a "not run" for a key that ran: a call that may not be repeated may be
-/// the second try of one that another host dispatched, and a host that does not
-/// ask the key's owner does not know.
+/// Returns the refusal of a request whose idempotency key was not claimed.
+///
+/// A call that may not be repeated may be the second attempt of a call that another host
+/// dispatched. Without asking the key's owner, the host can't know whether it ran, so the
+/// refusal must not state "not run".
 fn unclaimed_refusal(info: &RequestInfo, reason: Reason) -> Refusal {
     match info.repeat {
         Repeat::Never => Refusal::after_dispatch(reason, Ran::Unknown),
--- a/crates/jaypin_core/src/reducer/calls.rs
+++ b/crates/jaypin_core/src/reducer/calls.rs
@@ -1,4 +1,4 @@
-//! Dispatched calls, from hand-over to outcome.
+//! Dispatched calls, from dispatch to outcome.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,8 @@
     RequestId, SlotProgress, Step,
 };
 
-/// Pause before a request whose backend server refused the connection asks again.
+/// Delay before a request whose backend server refused the connection requests another
+/// slot.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Reducer {
@@ -25,14 +26,14 @@
         let request = request.dispatch(now);
         let slot = &request.state.slot;
         let id = request.info.id.clone();
-        let Some(record_of) = self.membership.backend(&slot.backend) else {
-            // The list changed between grant and dispatch; nothing was sent.
+        let Some(backend_record) = self.membership.backend(&slot.backend) else {
+            // The host list changed between grant and dispatch; nothing was sent.
             self.return_slot(&request, fx);
             let refusal = Refusal::not_run(Reason::NoBackend).retry_after(DEFAULT_RETRY_AFTER);
             return self.refuse(&request.info, elapsed(&request, now), refusal, fx);
         };
         if let Some(refusal) = self.quarantine_refusal(now, &request.info) {
-            // It became so while the request waited.
+            // The content was quarantined while the request waited.
             self.return_slot(&request, fx);
             return self.refuse(&request.info, elapsed(&request, now), refusal, fx);
         }
@@ -46,7 +47,7 @@
         fx.push(Effect::Dispatch {
             id: id.clone(),
             backend: slot.backend.clone(),
-            address: record_of.address.clone(),
+            address: backend_record.address.clone(),
             fence,
         });
         self.owner.dispatched.insert(id, request);
@@ -91,8 +92,8 @@
         }
     }
 
-    /// The connection was refused: no byte left, so the request was not run and may
-    /// ask for another slot.
+    /// Handles a refused connection. No byte was sent, so the request was not run and may
+    /// request another slot.
     pub(super) fn not_sent(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
         let Some(request) = self.owner.dispatched.remove(id) else {
             return;
@@ -100,8 +101,8 @@
         if let Some((leader, message)) = slot_progress_message(&request, SlotProgress::NotReached) {
             self.send(&leader, message, fx);
         }
-        // The pause keeps a request from turning in circles while its shard scheduler
-        // learns that the backend server is gone; the first token's deadline ends it.
+        // The delay prevents a tight retry loop until the shard scheduler knows that the
+        // backend server is down. The retries end at the first token's deadline.
         let overdue_at = now + RETRY_DELAY;
         let ask_at = overdue_at.checked_sub(self.cfg.ask_timeout).unwrap_or(now);
         match request.requeue(ask_at) {
@@ -141,10 +142,7 @@
         let progress = SlotProgress::Finished {
             tokens,
             after: now.duration_since(request.state.sent_at),
-            lost: matches!(
-                outcome,
-                CallOutcome::ConnectionLost | CallOutcome::BackendCrashed
-            ),
+            lost: matches!(outcome, CallOutcome::ConnectionLost | CallOutcome::BackendCrashed),
         };
         if let Some((leader, message)) = slot_progress_message(&request, progress) {
             self.send(&leader, message, fx);
@@ -154,7 +152,8 @@
         }
         let refusal = match outcome {
             CallOutcome::Complete | CallOutcome::Cancelled => {
-                // An answer was settled when it came; without one nothing is known.
+                // If a response was received, the claim is settled already. Without one it
+                // is not known whether the call ran.
                 return self.settle(id, KeyOutcome::Unknown, fx);
             }
             CallOutcome::ConnectionLost | CallOutcome::BackendCrashed => {
@@ -175,8 +174,8 @@
         self.abandon_claim(id, fx);
         let running = self.owner.dispatched.get(id);
         if running.is_some_and(|request| request.info.repeat == Repeat::Never) {
-            // Cut short, its outcome would be unknown for good; ended, it is kept under
-            // the key for the caller that asks again.
+            // Cancelling the call would make its outcome unknown for good. It continues, and
+            // its outcome is stored under the key for a caller that retries.
             return;
         }
         if let Some(request) = self.owner.waiting.remove(id) {
--- a/crates/jaypin_core/src/reducer/gossip.rs
+++ b/crates/jaypin_core/src/reducer/gossip.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy between partners: versions first, contents on demand, news at once.
+//! Gossip between partners: digests of versions are sent periodically, contents on request,
+//! and changes of the membership table at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,21 +11,26 @@
 use crate::member::{BUCKET_COUNT, Member, MemberStatus};
 use crate::{Config, Digest, Effect, HostId, Incarnation, Message};
 
-/// How often a host that is taken for gone is tried, so that a healed network shows.
+/// Time between two digests to a suspect or dead host, which detect that a network
+/// partition has healed.
 const PROBE_INTERVAL: Duration = Duration::from_secs(3);
-/// How long a content that was asked for may take before another peer is asked.
+/// Time after which rules or a host list that were requested from a peer may be requested
+/// again, from any peer.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an idle host stays after it was told to leave, so that its word spreads.
+/// Minimum time between the start of a drain and the exit of an idle host, so that its
+/// status reaches the other hosts.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(300);
-/// Longest wait for a first partner's digest before the host takes itself for the first.
+/// How long a starting host waits for a partner's digest before it assumes that it is the
+/// first host of the fleet.
 const FIRST_DIGEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the exchange with partners rests on.
+/// State of the gossip with partners.
 #[derive(Debug, Default)]
 pub(super) struct Gossip {
-    /// Whether a peer confirmed that this host has the versions in force.
+    /// Whether the versions of this host are confirmed to be current: by a peer, or because
+    /// no peer responded.
     pub caught_up: bool,
-    /// Whether rules or host list changed since partners were told.
+    /// Whether rules or host list changed since the last digest to the partners.
     pub versions_changed: bool,
     partners: Vec<HostId>,
     watching: Option<bool>,
@@ -38,7 +44,7 @@
     drain_started_at: Option<Instant>,
 }
 
-/// Versions that were asked for, and when.
+/// Newest versions that were requested, with the time of the request.
 #[derive(Debug, Default)]
 struct Fetching {
     rules: Option<(u64, Instant)>,
@@ -55,7 +61,6 @@
 }
 
 impl Reducer {
-    // ------------------------------------------------------------------ rounds
 
     pub(super) fn gossip_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.declare_suspects_dead(now, fx);
@@ -72,8 +77,10 @@
         self.probe(now, digest, fx);
     }
 
-    /// Guards against a split that outlives its cause: hosts that count each other as
-    /// dead are no partners, so each now and then tries one of them.
+    /// Sends a digest to a random suspect or dead host from time to time.
+    ///
+    /// Hosts that mark each other dead are not partners, so without these probes a split
+    /// fleet would stay split after the network has recovered.
     fn probe(&mut self, now: Instant, digest: Digest, fx: &mut Vec<Effect>) {
         let due = self.gossip.next_probe.get_or_insert(now + PROBE_INTERVAL);
         if now < *due {
@@ -81,19 +88,20 @@
         }
         *due = now + PROBE_INTERVAL;
         let listed = &self.membership.list().hosts;
-        let accused: Vec<&HostId> = listed
+        let unreachable: Vec<&HostId> = listed
             .iter()
             .map(|host| &host.id)
             .filter(|id| self.membership.status(id) >= MemberStatus::Suspect)
             .collect();
-        if accused.is_empty() {
+        if unreachable.is_empty() {
             return;
         }
-        let chosen = accused[self.rng.random_range(0..accused.len())].clone();
+        let chosen = unreachable[self.rng.random_range(0..unreachable.len())].clone();
         self.send(&chosen, Message::Digest(digest), fx);
     }
 
-    /// Tells partners at once what changed, so that news needs no round a hop.
+    /// Sends changes to the partners at once, so that a change does not wait for a gossip
+    /// round on each hop.
     pub(super) fn publish_changes(&mut self, fx: &mut Vec<Effect>) {
         let changed = std::mem::take(&mut self.gossip.changed_members);
         let versions_changed = std::mem::take(&mut self.gossip.versions_changed);
@@ -109,14 +117,8 @@
         for partner in self.gossip.partners.clone() {
             if !entries.is_empty() {
                 let (entries, whole) = (entries.clone(), Vec::new());
-                self.send(
-                    &partner,
-                    Message::Members {
-                        entries,
-                        complete_buckets: whole,
-                    },
-                    fx,
-                );
+                self.send(&partner, Message::Members { entries,
+                        complete_buckets: whole, }, fx,);
             }
             if versions_changed {
                 self.send(&partner, Message::Digest(digest), fx);
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Who hears of strikes first.
+    /// Returns the peers that this host sends crash counts to.
     pub(super) fn partners_to_notify(&self) -> Vec<HostId> {
         self.gossip.partners.clone()
     }
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Chooses partners and whether to hold the platform's watches.
+    /// Chooses the partners, and whether this host watches the platform.
     pub(super) fn choose_links(&mut self, fx: &mut Vec<Effect>) {
         let partners = self.membership.partners_of(&self.cfg.host);
         if partners != self.gossip.partners {
@@ -155,8 +157,6 @@
         }
     }
 
-    // ------------------------------------------------------------------ versions
-
     pub(super) fn digest(
         &mut self,
         now: Instant,
@@ -177,9 +177,9 @@
         if rules || hosts {
             self.send(from, Message::Fetch { rules, hosts }, fx);
         }
-        let lacks =
+        let peer_is_outdated =
             digest.rules_version < own.rules_version || digest.hosts_version < own.hosts_version;
-        if lacks {
+        if peer_is_outdated {
             self.send(from, Message::Digest(own), fx);
         }
         if digest.members != own.members {
@@ -211,7 +211,8 @@
         }
     }
 
-    /// A host that nobody answers is the first: it goes by what the platform said.
+    /// Accepts the platform's versions as current if this host has no partners or none of
+    /// them responded in time; it then is the first host of the fleet.
     fn stop_waiting_for_peers(&mut self, now: Instant) {
         if self.gossip.caught_up || !self.membership.has_host_list() || self.rules_version == 0 {
             return;
@@ -223,8 +224,6 @@
         self.gossip.caught_up = self.gossip.partners.is_empty() || now >= peer_wait_until;
     }
 
-    // ------------------------------------------------------------------ table of hosts
-
     pub(super) fn buckets(&mut self, from: &HostId, hashes: &[u64], fx: &mut Vec<Effect>) {
         let own = self.membership.table().bucket_hashes();
         let whole: Vec<u8> = (0..BUCKET_COUNT)
@@ -235,14 +234,8 @@
             return;
         }
         let entries = self.membership.table().in_buckets(&whole);
-        self.send(
-            from,
-            Message::Members {
-                entries,
-                complete_buckets: whole,
-            },
-            fx,
-        );
+        self.send(from, Message::Members { entries,
+                complete_buckets: whole, }, fx,);
     }
 
     pub(super) fn members(
@@ -264,12 +257,13 @@
         self.apply_members(now, entries, fx);
     }
 
-    /// Entries of some buckets that a peer has not, or has older.
+    /// Returns the entries of the given buckets that a peer lacks or has an older version
+    /// of.
     fn lacking(&self, theirs: &[(HostId, Member)], whole: &[u8]) -> Vec<(HostId, Member)> {
         let theirs: BTreeMap<&HostId, &Member> =
             theirs.iter().map(|(host, member)| (host, member)).collect();
         let mut own = self.membership.table().in_buckets(whole);
-        own.retain(|(host, member)| theirs.get(host).is_none_or(|their| **their < *member));
+        own.retain(|(host, member)| theirs.get(host).is_none_or(|theirs| **theirs < *member));
         own
     }
 
@@ -292,7 +286,7 @@
         }
     }
 
-    /// Takes an entry of another host; says whether it is news.
+    /// Applies an entry of another host if it is newer. Returns whether it was.
     fn apply_member(&mut self, now: Instant, host: &HostId, member: Member) -> bool {
         let before = self.membership.table().get(host);
         if !self.membership.apply(host, member) {
@@ -300,12 +294,12 @@
         }
         self.gossip.changed_members.insert(host.clone());
         let restarted = before.is_some_and(|before| before.incarnation < member.incarnation);
-        let was_accused = before.is_some_and(|before| before.is_suspected());
+        let was_suspected = before.is_some_and(|before| before.is_suspected());
         for scheduler in self.schedulers.values_mut() {
             if member.is_suspected() || restarted {
                 scheduler.mark_owner_lost(host, now);
             }
-            if !member.is_suspected() && (was_accused || restarted) {
+            if !member.is_suspected() && (was_suspected || restarted) {
                 scheduler.mark_owner_recovered(host, now);
             }
         }
@@ -348,8 +342,6 @@
         }
     }
 
-    // ------------------------------------------------------------------ links
-
     pub(super) fn peer_exited(&mut self, now: Instant, host: &HostId, fx: &mut Vec<Effect>) {
         self.keys.orphan(host);
         self.mark_peer(now, host, MemberStatus::Dead, fx);
@@ -360,8 +352,9 @@
         self.mark_peer(now, host, MemberStatus::Suspect, fx);
     }
 
-    /// A process that proved itself on a link runs: a new run of it is a new member.
-    /// One that is taken for gone is told so, and refutes by itself.
+    /// Handles a new link. The peer authenticated, so its process runs; a new incarnation
+    /// of it becomes a new entry. A peer that is marked suspect or dead learns this from
+    /// the digest exchange and refutes it.
     pub(super) fn peer_connected(
         &mut self,
         now: Instant,
@@ -376,9 +369,8 @@
         self.send(host, Message::Digest(digest), fx);
     }
 
-    // ------------------------------------------------------------------ this host
-
-    /// Tells the others of this run, once there is somebody to tell.
+    /// Sets this host's status in its own entry, which is published to the partners once
+    /// there are any.
     pub(super) fn set_own_status(&mut self, status: MemberStatus) {
         let host = self.cfg.host.clone();
         let known = self.membership.table().get(&host);
@@ -389,21 +381,25 @@
         }
     }
 
-    /// Guards against a host that is taken for gone and is not: it was frozen, or its
-    /// links were cut. It shows as an accusation of this very run. A greater revision
-    /// outweighs it everywhere; others took over its shards meanwhile, so its schedulers
-    /// start anew, and its own requests, dropped there, ask again.
-    fn refute_accusation(&mut self, now: Instant, heard: Member, fx: &mut Vec<Effect>) {
-        let accused = heard.incarnation == self.cfg.incarnation && heard.is_suspected();
+    /// Refutes an entry that marks this host suspect or dead.
+    ///
+    /// Peers may mark a running host that was frozen or whose links were cut, in an entry
+    /// with its current incarnation. An entry with a greater revision overrides it on all
+    /// hosts. Other hosts took over this host's shards meanwhile, so its schedulers are
+    /// restarted. They also dropped the requests that this host had queued there, so those
+    /// are requested again.
+    fn refute_accusation(&mut self, now: Instant, received: Member, fx: &mut Vec<Effect>) {
+        let accused = received.incarnation == self.cfg.incarnation && received.is_suspected();
         let host = self.cfg.host.clone();
         let own = self.membership.table().get(&host);
-        if !accused || own.is_some_and(|own| own.revision > heard.revision) {
+        if !accused || own.is_some_and(|own| own.revision > received.revision) {
             return;
         }
-        self.begin_term(now, heard.revision.saturating_add(1), fx);
+        self.begin_term(now, received.revision.saturating_add(1), fx);
     }
 
-    /// Outweighs whatever was said of this run, and makes every owner report anew.
+    /// Begins a new leadership term, with a revision that overrides all entries of this
+    /// incarnation. All owners then report their running requests again.
     fn begin_term(&mut self, now: Instant, revision: u32, fx: &mut Vec<Effect>) {
         let host = self.cfg.host.clone();
         let status = if self.draining {
@@ -421,9 +417,11 @@
         self.request_all_slots_again(now, fx);
     }
 
-    /// Guards against a process that was frozen and does not know it: it shows as a gap
-    /// between two events, since ticks come all the time. What it led was taken over
-    /// meanwhile, perhaps, and it must not grant on old counts even once.
+    /// Begins a new leadership term after this process was paused.
+    ///
+    /// A pause shows as a gap between two events, since ticks arrive all the time. Other
+    /// hosts may have taken over this host's shards meanwhile, so it must not grant a
+    /// single slot based on outdated counts.
     pub(super) fn detect_pause(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let last = self.last_event.replace(now);
         let limit = self.cfg.pause_limit;
@@ -449,27 +447,32 @@
         self.membership_changed(now, fx);
     }
 
-    /// Whether a host that is leaving still asks the owners of keys.
+    /// Returns whether this host, if it is draining, still claims keys.
     pub(super) fn may_claim(&self, now: Instant) -> bool {
-        let told = self.gossip.drain_started_at;
-        told.is_none_or(|told| now.duration_since(told) < DRAIN_CLAIM_WINDOW)
+        let started = self.gossip.drain_started_at;
+        started.is_none_or(|started| now.duration_since(started) < DRAIN_CLAIM_WINDOW)
     }
 
     pub(super) fn may_exit(&self, now: Instant) -> bool {
-        let told = self.gossip.drain_started_at;
-        let spread = told.is_some_and(|told| now.duration_since(told) >= MIN_DRAIN_TIME);
-        spread && self.is_idle(now)
+        let started = self.gossip.drain_started_at;
+        let is_published =
+            started.is_some_and(|started| now.duration_since(started) >= MIN_DRAIN_TIME);
+        is_published && self.is_idle(now)
     }
 }
 
+/// Returns whether a version should be requested now, and if so, records the request.
+
 fn start_fetch(fetching: &mut Option<(u64, Instant)>, version: u64, now: Instant) -> bool {
     let pending = fetching
-        .is_some_and(|(asked, at)| asked >= version && now.duration_since(at) < FETCH_TIMEOUT);
+        .is_some_and(|(requested, at)| {
+        requested >= version && now.duration_since(at) < FETCH_TIMEOUT
+    });
     if !pending {
         *fetching = Some((version, now));
     }
     !pending
 }
 
-/// Bucket numbers travel as bytes.
+/// Bucket numbers are sent as bytes.
 const _: () = assert!(BUCKET_COUNT <= u8::MAX as usize);
--- a/crates/jaypin_core/src/reducer/keys.rs
+++ b/crates/jaypin_core/src/reducer/keys.rs
@@ -1,4 +1,5 @@
-//! Claims on idempotency keys: asked for by the request's owner, answered by the key's.
+//! Claims on idempotency keys, on both sides: the host that owns the request and requests
+//! the claim, and the host that owns the key and decides on it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,17 +16,16 @@
 
 /// Time after which an unanswered claim is sent again.
 const CLAIM_RESEND: Duration = Duration::from_millis(300);
-/// Time after which the key's owner counts as unreachable.
+/// Time after which a key's owner that did not respond counts as unreachable.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which an unconfirmed outcome is sent again.
 const SETTLE_RESEND: Duration = Duration::from_millis(500);
-/// Time for which an unconfirmed outcome is kept; then the key stays unknown.
+/// Time after which an unconfirmed outcome is dropped; the key then stays unknown.
 const SETTLE_EXPIRY: Duration = Duration::from_secs(30);
 
 impl Reducer {
-    // ------------------------------------------------------------------ request's owner
-
-    /// Claims the key of a call that may not be repeated; says whether it has to wait.
+    /// Claims the key of a call that may not be repeated. Returns whether the request was
+    /// handled: it waits for the claim, or was refused because its key is malformed.
     pub(super) fn start_claim(
         &mut self,
         now: Instant,
@@ -40,7 +40,7 @@
             .as_deref()
             .and_then(|text| Some((Arc::from(text), IdempotencyKey::parse(text)?)))
         else {
-            // The frontend turns such calls away; without a key none may run.
+            // The frontend rejects such calls already; without a key they must not run.
             self.refuse(
                 info,
                 Duration::ZERO,
@@ -92,8 +92,8 @@
         fx: &mut Vec<Effect>,
     ) {
         let Some(request) = self.claims.claiming.remove(id) else {
-            // A late or repeated answer. A grant to a request that is over would hold
-            // the key for good, so its owner hears that nobody waits for it.
+            // This response is late or repeated. A claim granted to a request that has
+            // ended would be held until the key expires, so its owner is informed.
             if verdict == ClaimVerdict::Granted {
                 self.check_claim(from, id, key, fx);
             }
@@ -106,7 +106,7 @@
         record(&request.info, after, step, fx);
         let refusal = match verdict {
             ClaimVerdict::Granted if self.not_serving().is_some() => {
-                // Now it is known that no earlier try of this key ran.
+                // The granted claim shows that no earlier attempt with this key ran.
                 let claim = request.state.claim;
                 self.send_outcome(id, claim, KeyOutcome::NotRun, fx);
                 Refusal::not_run(Reason::Draining).retry_after(DEFAULT_RETRY_AFTER)
@@ -135,7 +135,8 @@
         self.refuse(&request.info, after, refusal, fx);
     }
 
-    /// Ends a held claim; does nothing for a request without one.
+    /// Ends the claim that a request holds, with the outcome of its call. Does nothing for
+    /// a request that holds none.
     pub(super) fn settle(&mut self, id: &RequestId, outcome: KeyOutcome, fx: &mut Vec<Effect>) {
         let Some(claim) = self.claims.held.remove(id) else {
             return;
@@ -143,14 +144,16 @@
         self.send_outcome(id, claim, outcome, fx);
     }
 
-    /// The caller left while the claim was asked for: nothing left, nothing will.
+    /// Abandons the claim of a request whose caller disconnected before the claim was
+    /// decided on. The request was not sent and will not be.
     pub(super) fn abandon_claim(&mut self, id: &RequestId, fx: &mut Vec<Effect>) {
         if let Some(request) = self.claims.claiming.remove(id) {
             self.send_outcome(id, request.state.claim, KeyOutcome::NotRun, fx);
         }
     }
 
-    /// Kept until the key's owner confirms, because a link may lose it.
+    /// Sends an outcome to the key's owner and keeps it until the owner confirms it, because
+    /// the message may be lost with a link.
     fn send_outcome(
         &mut self,
         id: &RequestId,
@@ -173,7 +176,8 @@
         self.claims.unsettled.insert(id.clone(), unsettled);
     }
 
-    /// Answers the key's owner, who asks whether a request still holds its claim.
+    /// Responds to a key's owner that checks whether a request still holds its claim. Sends
+    /// the outcome if it does not.
     pub(super) fn check_claim(
         &mut self,
         from: &HostId,
@@ -201,9 +205,9 @@
         for (id, mut request) in claiming {
             let after = now.duration_since(request.arrived_at);
             if after >= CLAIM_TIMEOUT {
-                // Guards against a key owner that is gone or paused: the key may have
-                // run before, so it isn't run now. Should the owner wake up and grant
-                // the claim late, the word that follows gives it back.
+                // The key's owner has exited or is paused. The call may have run before, so
+                // it is not run now. If the owner resumes and grants the claim late, the
+                // outcome that is sent here releases the claim.
                 let refusal = Refusal::after_dispatch(Reason::KeyUnknown, Ran::Unknown);
                 self.send_outcome(&id, request.state.claim, KeyOutcome::NotRun, fx);
                 self.refuse(&request.info, after, refusal, fx);
@@ -236,8 +240,6 @@
         self.send_all(again, fx);
     }
 
-    // ------------------------------------------------------------------ key's owner
-
     pub(super) fn answer_claim(
         &mut self,
         now: Instant,
@@ -255,7 +257,8 @@
                 }
                 verdict
             }
-            // Another run of this host issued it; what it granted is not known here.
+            // Another incarnation of this host issued the key, and its claims are not known
+            // to this one.
             None => ClaimVerdict::Unknown,
         };
         let answer = Message::Claimed {
@@ -266,8 +269,10 @@
         self.send(from, answer, fx);
     }
 
-    /// Guards against a holder that died unnoticed: its silence would keep the key in
-    /// flight. Asking either gets its word or shows that the link is lost.
+    /// Checks with the holder of a claim whether its request still holds it.
+    ///
+    /// The holder may have exited unnoticed, which would keep the key in flight. Its host
+    /// either responds with the outcome, or the failed send shows that the link is lost.
     fn check_holder(&mut self, text: &Arc<str>, key: &IdempotencyKey, fx: &mut Vec<Effect>) {
         let holder = self.keys.holder(key);
         if let Some((host, id)) = holder.map(|(host, id)| (host.clone(), id.clone())) {
--- a/crates/jaypin_core/src/reducer/knowledge.rs
+++ b/crates/jaypin_core/src/reducer/knowledge.rs
@@ -1,4 +1,4 @@
-//! What the reducer learns: rules, host list, peers, load reports.
+//! Updates from outside: rules, host list, membership and load reports.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 
 impl Reducer {
     pub(super) fn rules(&mut self, version: u64, rules: Arc<RuleSet>) {
-        // Stale platform copies and late peers offer old versions; the greater one stays,
-        // so an accepted rule file never reverts.
+        // Outdated copies of the platform and delayed messages of peers carry old versions.
+        // Only a greater version is applied, so an accepted rule file is never reverted.
         if version > self.rules_version {
             self.rules_version = version;
             self.rule_index = Arc::new(RuleIndex::new(rules.clone()));
@@ -27,7 +27,8 @@
     }
 
     pub(super) fn hosts(&mut self, now: Instant, list: HostList, fx: &mut Vec<Effect>) {
-        // Lagging platform copies and late peers: the greater version stays.
+        // Outdated copies of the platform and delayed messages of peers carry old versions;
+        // only a greater version is applied.
         if self.membership.update(list, &self.cfg) {
             self.gossip.versions_changed = true;
             self.membership_changed(now, fx);
@@ -42,8 +43,8 @@
         {
             self.membership_changed(now, fx);
         }
-        // A fixed share says nothing of what the other hosts run, so reports are no
-        // correction there.
+        // With fixed shares, a reported load includes the requests that other hosts run on
+        // their shares, so the report can't correct this host's count.
         if self.cfg.policy == Policy::Local {
             return;
         }
@@ -54,8 +55,8 @@
         self.record_backend_report(now, &report.backend, fx);
     }
 
-    /// Takes up and lays down shards, chooses partners, and tells new leaders what runs
-    /// here.
+    /// Handles a change of the host list or the membership table: chooses partners, starts
+    /// and stops schedulers, and reports running requests to new leaders.
     pub(super) fn membership_changed(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.choose_links(fx);
         let led: BTreeSet<Shard> = self
@@ -80,7 +81,7 @@
         self.handle_new_terms(now, fx);
     }
 
-    /// The backend servers of a shard, with the slots that this host may grant.
+    /// Returns the backend servers of a shard, with the slots that this host may grant.
     fn grantable_backends(&self, shard: &Shard) -> Vec<BackendRecord> {
         let records = self.membership.backends_of(shard);
         if self.cfg.policy != Policy::Local {
--- a/crates/jaypin_core/src/reducer/limits.rs
+++ b/crates/jaypin_core/src/reducer/limits.rs
@@ -1,4 +1,5 @@
-//! Limits over the whole fleet: schedulers tell, keepers split.
+//! Fleet-wide limits of client accounts: schedulers report demand to one host per account,
+//! which splits the account's limits among the shards.
 
 use std::time::{Duration, Instant};
 
@@ -6,11 +7,12 @@
 use crate::rendezvous::score;
 use crate::{AccountId, Allowance, Effect, HostId, Message, Shard};
 
-/// Pause between two tellings of use.
+/// Time between two usage reports.
 const USAGE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Reducer {
-    /// Tells keepers what limited accounts asked in the shards led here.
+    /// Reports the demand of accounts with limits, in the shards that this host leads, to
+    /// the hosts that split their limits.
     pub(super) fn report_usage(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         if self.next_usage.is_some_and(|at| now < at) {
             return;
@@ -19,31 +21,32 @@
         self.limit_keeper.remove_expired(now);
         let mut reports = Vec::new();
         for (shard, scheduler) in &mut self.schedulers {
-            for seen in scheduler.take_usage(now) {
-                reports.push((shard.clone(), seen));
+            for usage in scheduler.take_usage(now) {
+                reports.push((shard.clone(), usage));
             }
         }
-        for (shard, seen) in reports {
-            let Some(keeper) = self.keeper(&seen.account).cloned() else {
+        for (shard, usage) in reports {
+            let Some(keeper) = self.keeper(&usage.account).cloned() else {
                 continue;
             };
-            let usage = Message::Usage {
+            let report = Message::Usage {
                 shard,
-                account: seen.account,
-                tokens: seen.tokens,
-                at_once: seen.at_once,
+                account: usage.account,
+                tokens: usage.tokens,
+                at_once: usage.at_once,
             };
-            self.send(&keeper, usage, fx);
+            self.send(&keeper, report, fx);
         }
     }
 
-    /// The host that splits an account's limits.
+    /// Returns the host that splits an account's limits.
     fn keeper(&self, account: &AccountId) -> Option<&HostId> {
         let hosts = self.membership.live_hosts().map(|host| &host.id);
         hosts.max_by_key(|id| score(account, id))
     }
 
-    /// What a shard may use of an account's limits, after what it told.
+    /// Records a shard's usage report and returns the part of the account's limits that the
+    /// shard may use; none for an account without limits.
     pub(super) fn split_limit(
         &mut self,
         now: Instant,
--- a/crates/jaypin_core/src/reducer/messages.rs
+++ b/crates/jaypin_core/src/reducer/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between owners and shard schedulers.
+//! Dispatch of received messages, and the messages between owners and shard schedulers.
 
 use std::time::{Duration, Instant};
 
@@ -87,18 +87,16 @@
             Message::RuleText { version, text } => self.offer_rules(version, text, fx),
             Message::Hosts(list) => self.hosts(now, list, fx),
             Message::Buckets(hashes) => self.buckets(from, &hashes, fx),
-            Message::Members {
-                entries,
-                complete_buckets,
-            } => {
+            Message::Members { entries,
+                complete_buckets, } => {
                 self.members(now, from, entries, &complete_buckets, fx);
             }
-            Message::BackendCrashed { backend, lost } => {
-                self.quarantine.record_lost_call(now, &backend, lost);
+            Message::BackendCrashed { backend, lost } => { self.quarantine.record_lost_call(now, &backend, lost);
             }
             Message::CrashCount {
                 fingerprint,
-                crash_count: strikes,
+                crash_count:
+                strikes,
             } => self.crash_count_received(now, fingerprint, strikes, fx),
             Message::Claim { key, id, subject } => {
                 self.answer_claim(now, from, key, id, &subject, fx);
@@ -128,19 +126,18 @@
         self.send_all(out, fx);
     }
 
-    /// Remembers how long requests of a tier wait in the shard that was asked.
+    /// Records how long requests of a tier wait in the shard that was asked.
     fn record_wait(&mut self, now: Instant, id: &RequestId, attempt: u32, wait: Duration) {
         if let Some(request) = self.owner.waiting.get(id)
             && request.state.attempt == attempt
         {
             let tier = request.info.tier;
-            self.shard_hints
-                .record_wait(&request.state.shard, tier, wait, now);
+            self.shard_hints.record_wait(&request.state.shard, tier, wait, now);
         }
     }
 
-    /// Answers for a grant that this host does not hold: lost on its way, or ended
-    /// while the link was down.
+    /// Returns a slot whose grant this host does not hold, because the grant was lost in
+    /// transit or its call ended while the link was down.
     fn confirm(
         &mut self,
         from: &HostId,
@@ -154,13 +151,13 @@
             grant.is_some_and(|(_, _, held)| *held == number)
         });
         if !held {
-            let back = Message::Progress {
+            let returned = Message::Progress {
                 shard,
                 id,
                 number,
                 progress: SlotProgress::Returned,
             };
-            self.send(from, back, fx);
+            self.send(from, returned, fx);
         }
     }
 
@@ -179,7 +176,9 @@
         }
     }
 
-    /// The views differ for a moment; the ask timeout asks again by the newer view.
+    /// Handles the response of a host that does not lead the shard. The membership tables
+    /// of both hosts differ for a moment; after the ask timeout, the request is sent again
+    /// to the leader that is known then.
     pub(super) fn not_leader(&mut self, id: &RequestId, attempt: u32) {
         if let Some(request) = self.owner.waiting.get_mut(id)
             && request.state.attempt == attempt
@@ -204,14 +203,15 @@
             .then(|| self.owner.waiting.remove(&grant.id))
             .flatten()
         else {
-            // The caller left or the request asked elsewhere meanwhile: the slot goes back.
-            let back = Message::Progress {
+            // The caller disconnected, or the request asked another shard meanwhile, so the
+            // slot is returned.
+            let returned = Message::Progress {
                 shard: grant.shard,
                 id: grant.id,
                 number: grant.number,
                 progress: SlotProgress::Returned,
             };
-            return self.send(from, back, fx);
+            return self.send(from, returned, fx);
         };
         self.shard_hints
             .record_wait(&grant.shard, request.info.tier, grant.expected_wait, now);
--- a/crates/jaypin_core/src/reducer/mod.rs
+++ b/crates/jaypin_core/src/reducer/mod.rs
@@ -1,4 +1,4 @@
-//! The one reducer over all events of a host.
+//! The reducer: applies each event of a host to its decision state and returns effects.
 
 mod arrival;
 mod calls;
@@ -37,16 +37,18 @@
     SuspectCounts,
 };
 
-/// Time after which a refused caller may come back, where nothing better is known.
+/// Time after which a refused caller may retry, where no better estimate exists.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a leaving host waits for a key's owner to confirm an outcome.
+/// How long a draining host waits for a key's owner to confirm an outcome.
 ///
-/// Guards against a host that never leaves while the owner of a key is frozen. Without
-/// the confirmation the key becomes `unknown` once this host is gone: never a second run.
+/// Without this limit, a host could never exit while the owner of a key is frozen. A key
+/// whose outcome was not confirmed becomes `unknown` once this host has exited, so its
+/// call is never run a second time.
 const DRAIN_SETTLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a leaving host still asks the owners of keys, for callers who have not heard
-/// that it leaves. Later ones are told `unknown` at once, or their claims would keep it.
+/// How long a draining host still claims keys, for callers who do not know yet that it is
+/// shutting down. Later calls are refused at once with `unknown`, since further claims
+/// would keep the host from exiting.
 const DRAIN_CLAIM_WINDOW: Duration = Duration::from_secs(5);
 
 /// The decision state of one host.
@@ -81,32 +83,32 @@
 /// Counts for status pages and metrics.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Version of the rules in force; 0 before any are.
+    /// Version of the rules that are confirmed to be current; 0 before that.
     pub rules_version: u64,
-    /// Version of the host list in use; 0 before one was read.
+    /// Version of the host list; 0 before the first one was read.
     pub hosts_version: u64,
-    /// Shards that this host leads.
+    /// Number of shards that this host leads.
     pub shards_led: usize,
-    /// Requests of this host that wait.
+    /// Number of this host's requests that wait for a slot.
     pub waiting: usize,
-    /// Requests of this host that run.
+    /// Number of this host's requests that run.
     pub running: usize,
-    /// Requests that wait in the shards that this host leads.
+    /// Number of requests of all hosts that wait in the shards that this host leads.
     pub queued_here: usize,
-    /// Requests that run on slots granted by the shards that this host leads.
+    /// Number of requests of all hosts that run on slots of the shards that this host leads.
     pub granted_here: usize,
-    /// Key period of this run, for the prefix of idempotency keys.
+    /// Current key period of this process, for the prefix of idempotency keys.
     pub key_period: u64,
     /// Whether the host is shutting down.
     pub draining: bool,
-    /// Whether the host heard that it has the versions in force.
+    /// Whether the host's versions of rules and host list were confirmed to be current.
     pub caught_up: bool,
-    /// Hash of the table of hosts; equal tables have equal ones.
+    /// Hash of the membership table; equal tables have equal hashes.
     pub members: u64,
 }
 
 impl Reducer {
-    /// Starts with nothing known.
+    /// Creates a reducer without rules and host list.
     #[must_use]
     pub fn new(mut cfg: Config) -> Self {
         if cfg.policy == Policy::Local {
@@ -142,9 +144,9 @@
         reducer
     }
 
-    /// Takes one event and says what is to be done.
+    /// Applies one event and returns the effects to perform.
     ///
-    /// Same events, same seed, same effects.
+    /// The same events with the same seed give the same effects.
     pub fn apply(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         let mut fx = Vec::new();
         self.started.get_or_insert(now);
@@ -158,7 +160,7 @@
         fx
     }
 
-    /// Counts for status pages and metrics.
+    /// Returns counts for status pages and metrics.
     #[must_use]
     pub fn summary(&self) -> Summary {
         Summary {
@@ -176,30 +178,32 @@
         }
     }
 
-    /// The shards that this host leads, for operators; dearer than the counts.
+    /// Returns reports on the shards that this host leads, for operators. This is more
+    /// expensive than [`Self::summary`].
     #[must_use]
     pub fn shard_reports(&self, now: Instant) -> Vec<ShardReport> {
         let schedulers = self.schedulers.values();
-        schedulers.map(|it| it.shard_report(now)).collect()
+        schedulers.map(|scheduler| scheduler.shard_report(now)).collect()
     }
 
-    /// Contents under suspicion, for operators.
+    /// Returns how many request contents are suspected or quarantined, for operators.
     #[must_use]
     pub fn suspect_counts(&self) -> SuspectCounts {
         self.quarantine.counts(self.rules.quarantine.crash_limit)
     }
 
-    /// The rules that [`Summary::rules_version`] names, or those read last while none are
-    /// in force.
+    /// Returns the newest rules, also before they are confirmed to be current. Their version
+    /// is [`Summary::rules_version`] unless that is 0.
     #[must_use]
     pub fn loaded_rules(&self) -> &Arc<RuleSet> {
         &self.rules
     }
 
-    /// Version of the rules that this host goes by; 0 until a peer had no greater one.
+    /// Returns the version of the rules, or 0 until it is confirmed that peers have no
+    /// newer one.
     ///
-    /// Guards against a host that starts while the platform answers an old copy: it would
-    /// show, and check callers by, a version that the fleet has left behind.
+    /// A host that starts while the platform returns an outdated copy would otherwise
+    /// publish, and check callers by, a version that the rest of the fleet has replaced.
     fn confirmed_rules_version(&self) -> u64 {
         if self.gossip.caught_up {
             self.rules_version
@@ -208,7 +212,7 @@
         }
     }
 
-    /// This host's view of hosts and backend servers.
+    /// Returns this host's view of hosts and backend servers.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
@@ -233,7 +237,6 @@
             Event::PeerConnected { host, incarnation } => {
                 self.peer_connected(now, &host, incarnation, fx);
             }
-
             Event::Hosts(list) => self.hosts(now, list, fx),
             Event::Rules { version, rules } => self.rules(version, rules),
             Event::RuleText { version, text } => self.rule_text(version, text),
@@ -242,7 +245,7 @@
         }
     }
 
-    /// The host that grants slots of a shard, as the policy has it.
+    /// Returns the host that grants the slots of a shard, according to the policy.
     fn leader(&self, shard: &Shard) -> Option<&HostId> {
         match self.cfg.policy {
             Policy::Local => Some(&self.cfg.host),
@@ -261,7 +264,7 @@
         }
     }
 
-    /// Whether nothing is left to do for a caller or to tell a peer.
+    /// Returns whether there is no request in progress and no outcome left to report.
     fn is_idle(&self, now: Instant) -> bool {
         self.owner.is_idle() && self.claims.is_idle(now, DRAIN_SETTLE_TIMEOUT)
     }
@@ -316,7 +319,8 @@
     }));
 }
 
-/// The message that tells a request's shard scheduler what became of its slot.
+/// Returns the message that reports to a request's shard scheduler what happened to its
+/// slot, and the receiver; none for a request without a grant.
 fn slot_progress_message(
     request: &Request<Dispatched>,
     progress: SlotProgress,
--- a/crates/jaypin_core/src/reducer/poison.rs
+++ b/crates/jaypin_core/src/reducer/poison.rs
@@ -1,4 +1,5 @@
-//! Poisonous requests: deaths told, judged, and spread as strikes.
+//! Requests that crash backend servers: reports of crashes, their evaluation, and the
+//! distribution of crash counts.
 
 use std::time::Instant;
 
@@ -7,33 +8,30 @@
 use crate::{Effect, Lost, Message, Reason, Refusal, RequestInfo};
 
 impl Reducer {
-    /// The refusal of a request whose content is quarantined.
+    /// Returns the refusal of a request whose content is quarantined, or `None`.
     pub(super) fn quarantine_refusal(&self, now: Instant, info: &RequestInfo) -> Option<Refusal> {
         let rule = &self.rules.quarantine;
-        let left = self.quarantine.remaining_quarantine(
-            now,
-            info.fingerprint,
-            rule.crash_limit,
-            rule.duration,
-        )?;
+        let left = self
+            .quarantine
+            .remaining_quarantine(now, info.fingerprint, rule.crash_limit, rule.duration,)?;
         let refusal = Refusal::not_run(Reason::Quarantined).retry_after(left);
         Some(refusal.rule_line(rule.origin.line))
     }
 
-    /// Tells the shard scheduler, where all calls that died together are known.
+    /// Reports a crash to the shard scheduler, which knows all calls that were lost in it.
     pub(super) fn report_crash(&mut self, request: &Request<Dispatched>, fx: &mut Vec<Effect>) {
         let slot = &request.state.slot;
         let Some((_, leader, _)) = slot.grant.clone() else {
             return;
         };
-        let died = Message::BackendCrashed {
+        let crash = Message::BackendCrashed {
             backend: slot.backend.clone(),
             lost: Lost {
                 fingerprint: request.info.fingerprint,
                 had_first_token: request.state.first_token_at.is_some(),
             },
         };
-        self.send(&leader, died, fx);
+        self.send(&leader, crash, fx);
     }
 
     pub(super) fn quarantine_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
@@ -52,22 +50,20 @@
         strikes: u32,
         fx: &mut Vec<Effect>,
     ) {
-        if self
-            .quarantine
-            .record_crash_count(now, fingerprint, strikes)
-        {
+        if self.quarantine.record_crash_count(now, fingerprint, strikes) {
             self.spread(fingerprint, strikes, fx);
         }
     }
 
-    /// News goes to the few partners only, who pass it on once.
+    /// Sends a new crash count to the partners only; each of them forwards it once.
     fn spread(&mut self, fingerprint: u64, strikes: u32, fx: &mut Vec<Effect>) {
-        let strike = Message::CrashCount {
+        let message = Message::CrashCount {
             fingerprint,
-            crash_count: strikes,
+            crash_count:
+            strikes,
         };
         for partner in self.partners_to_notify() {
-            self.send(&partner, strike.clone(), fx);
+            self.send(&partner, message.clone(), fx);
         }
     }
 }
--- a/crates/jaypin_core/src/reducer/succession.rs
+++ b/crates/jaypin_core/src/reducer/succession.rs
@@ -1,4 +1,5 @@
-//! A shard whose leader is gone goes to the next: owners report what runs and ask again.
+//! Handover of a shard to a new leader: owners report their running requests to it and
+//! request slots again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -10,17 +11,19 @@
     BackendId, Config, Effect, HostId, InFlight, Incarnation, Message, Policy, RequestId, Shard,
 };
 
-/// How long a report is kept that came before this host knew that it leads the shard.
+/// How long an owner's report is kept that arrived before this host knew that it leads the
+/// shard.
 const EARLY_REPORT_EXPIRY: Duration = Duration::from_secs(1);
 
-/// Owners whose reports this host's new schedulers wait for.
+/// Reports that this host's new schedulers wait for, and reports that arrived early.
 #[derive(Debug, Default)]
 pub(super) struct Rebuilds {
     awaited: BTreeMap<Shard, Rebuild>,
     early: Vec<EarlyReport>,
 }
 
-/// A report to this host as the leader of a shard, from an owner whose view is ahead.
+/// A report for a shard that this host does not lead yet, from an owner that received the
+/// change of the leader first.
 #[derive(Debug)]
 struct EarlyReport {
     at: Instant,
@@ -29,6 +32,8 @@
     running: Vec<InFlight>,
 }
 
+/// Owners and backend servers that a new scheduler still waits for, at most until `until`.
+
 #[derive(Debug)]
 struct Rebuild {
     until: Instant,
@@ -37,8 +42,8 @@
 }
 
 impl Reducer {
-    /// Starts the scheduler of a shard that this host leads from now on; says whether it
-    /// is new.
+    /// Starts the scheduler of a shard that this host leads. Returns false if it is running
+    /// already.
     pub(super) fn start_scheduler(&mut self, now: Instant, shard: &Shard) -> bool {
         if self.schedulers.contains_key(shard) {
             return false;
@@ -51,8 +56,8 @@
         self.schedulers.insert(shard.clone(), scheduler);
         let owners = self.membership.live_hosts().map(|host| host.id.clone());
         let own = self.cfg.host.clone();
-        // A backend server may have said that it is leaving to the former leader only:
-        // all of them are asked before the first grant.
+        // A backend server may have reported only to the former leader that it is shutting
+        // down, so all backend servers are polled before the first grant.
         let backends = self.membership.shards().members(shard).iter().cloned();
         let rebuild = Rebuild {
             backends: backends.collect(),
@@ -67,25 +72,25 @@
         true
     }
 
-    /// First part of the numbers of a scheduler that starts now: milliseconds since the
-    /// Unix epoch, by this host's clock.
+    /// Returns the first part of the grant numbers of a scheduler that starts now, in
+    /// milliseconds since the Unix epoch by this host's clock.
     ///
-    /// Guards against backend servers that refuse all orders after a shard moved to a
-    /// host whose process is older than its predecessor's: they compare numbers, so a
-    /// later scheduler needs a greater one, whenever its process began.
+    /// Backend servers reject calls whose grant number is smaller than an earlier one. A
+    /// later scheduler therefore needs greater numbers, also when its host's process is
+    /// older than that of the former leader.
     fn grant_incarnation(&self, now: Instant) -> Incarnation {
-        let since = self
+        let running = self
             .started
             .map_or(Duration::ZERO, |at| now.duration_since(at));
-        let since = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
-        self.cfg.incarnation.saturating_add(since)
+        let running_ms = u64::try_from(running.as_millis()).unwrap_or(u64::MAX);
+        self.cfg.incarnation.saturating_add(running_ms)
     }
 
-    /// Forgets all schedulers and starts anew.
+    /// Replaces all schedulers by empty ones.
     ///
-    /// Guards against a leader that was paused while another led its shards: its counts
-    /// are old, and grants on top of them would put more on a backend server than it
-    /// bears. Empty schedulers grant nothing until owners reported or the window ended.
+    /// The counts of a leader that was paused while another host led its shards are
+    /// outdated, and granting slots based on them would overload backend servers. Empty
+    /// schedulers grant nothing until the owners reported or the rebuild window ended.
     pub(super) fn restart_schedulers(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.schedulers.clear();
         self.rebuilds.awaited.clear();
@@ -110,9 +115,12 @@
         self.end_rebuilds(now, fx);
     }
 
-    /// Guards against a report that overtakes the news that made its sender send it: it
-    /// shows as a full window of waiting, and as slots granted twice when a report is
-    /// the only one. Kept for a moment, it counts when this host takes up the shard.
+    /// Keeps a report for a shard that this host does not lead yet; it is applied when this
+    /// host becomes the leader.
+    ///
+    /// A report can arrive before the membership change that caused it. Without this, the
+    /// new scheduler would wait for the whole rebuild window, and a slot that only the
+    /// dropped report names would be granted twice.
     fn store_early_report(
         &mut self,
         now: Instant,
@@ -142,10 +150,10 @@
     ) {
         self.drop_expired_reports(now);
         let early = std::mem::take(&mut self.rebuilds.early);
-        let (taken, kept) = early.into_iter().partition(|report| report.shard == *shard);
+        let (applied, kept) = early.into_iter().partition(|report| report.shard == *shard);
         self.rebuilds.early = kept;
-        let taken: Vec<EarlyReport> = taken;
-        for report in taken {
+        let applied: Vec<EarlyReport> = applied;
+        for report in applied {
             self.record_owner_report(now, &report.from, shard, report.running, fx);
         }
     }
@@ -162,8 +170,8 @@
         self.end_rebuilds(now, fx);
     }
 
-    /// Lets schedulers grant once every live host and backend server reported, or had
-    /// time to.
+    /// Allows schedulers to grant slots once every live host and every backend server
+    /// reported, or the rebuild window ended.
     pub(super) fn end_rebuilds(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         if self.rebuilds.awaited.is_empty() {
             return;
@@ -175,8 +183,8 @@
             .collect();
         let mut ended = Vec::new();
         self.rebuilds.awaited.retain(|shard, rebuild| {
-            let reported = rebuild.owners.is_disjoint(&live) && rebuild.backends.is_empty();
-            if reported || now >= rebuild.until {
+            let is_complete = rebuild.owners.is_disjoint(&live) && rebuild.backends.is_empty();
+            if is_complete || now >= rebuild.until {
                 ended.push(shard.clone());
                 return false;
             }
@@ -191,10 +199,11 @@
         self.send_all(out, fx);
     }
 
-    /// Reports to leaders in a new term what runs here, and asks them again.
+    /// Reports the running requests to leaders whose term is new, and requests slots from
+    /// them again.
     ///
-    /// A term is a leader's run and revision: a leader that restarted at the same
-    /// address, or was taken for gone, has lost its counts though its name is the same.
+    /// A term includes the leader's incarnation and revision: a leader that restarted, or
+    /// was marked suspect or dead, has lost its counts though its id is the same.
     pub(super) fn handle_new_terms(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let terms = self.current_terms();
         if terms == self.terms {
@@ -223,7 +232,8 @@
             .collect()
     }
 
-    /// An empty report counts too: it lets the new leader grant before its window ends.
+    /// Reports the running requests of a shard to its leader. An empty report is sent too,
+    /// since it lets the new leader grant slots before its rebuild window ends.
     fn report_in_flight(&mut self, shard: &Shard, fx: &mut Vec<Effect>) {
         let Some(leader) = self.leader(shard).cloned() else {
             return;
@@ -253,8 +263,8 @@
             .iter()
             .filter(|(_, request)| {
                 let shard = &request.state.shard;
-                let gone = before.contains_key(shard) && !self.terms.contains_key(shard);
-                changed.contains(shard) || gone
+                let has_no_leader = before.contains_key(shard) && !self.terms.contains_key(shard);
+                changed.contains(shard) || has_no_leader
             })
             .map(|(id, _)| id.clone())
             .collect();
--- a/crates/jaypin_core/src/reducer/time.rs
+++ b/crates/jaypin_core/src/reducer/time.rs
@@ -1,4 +1,4 @@
-//! What happens because time went on.
+//! Timeouts and periodic work.
 
 use std::time::Instant;
 
@@ -26,8 +26,11 @@
         }
     }
 
-    /// Guards against a shard scheduler that died or never got the ask: nothing was
-    /// dispatched, so asking again, at its successor, is safe.
+    /// Requests a slot again for requests whose shard scheduler did not respond in time, and
+    /// refuses requests whose first token is overdue.
+    ///
+    /// The shard scheduler may have exited or never received the ask. Nothing was
+    /// dispatched, so asking again, or asking its successor, is safe.
     pub(super) fn handle_overdue_requests(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let mut overdue = Vec::new();
         let mut late = Vec::new();
@@ -56,7 +59,8 @@
             shard,
             leader,
             queued,
-            connection_refused: unreached,
+            connection_refused:
+            unreached,
             ..
         } = request.state;
         self.send(
