--- a/crates/jaypin_core/src/config.rs
+++ b/crates/jaypin_core/src/config.rs
@@ -40,7 +40,7 @@
     pub report_interval: Duration,
     /// How long an owner waits for the first response of a shard scheduler before it asks
     /// again.
-    pub ask_timeout: Duration,
+    pub slot_request_timeout: Duration,
     /// How long a new shard scheduler waits at most for the reports of owners and backend
     /// servers before it grants slots.
     pub rebuild_window: Duration,
@@ -66,7 +66,7 @@
             shard_size: 12,
             max_waiting: 2_000,
             report_interval: Duration::from_secs(1),
-            ask_timeout: Duration::from_millis(400),
+            slot_request_timeout: Duration::from_millis(400),
             rebuild_window: Duration::from_millis(250),
             gossip_interval: Duration::from_secs(1),
             suspect_timeout: Duration::from_secs(5),
--- a/crates/jaypin_core/src/message.rs
+++ b/crates/jaypin_core/src/message.rs
@@ -31,7 +31,7 @@
     Queued {
         /// The request.
         id: RequestId,
-        /// Number of the ask that this message answers.
+        /// Number of the slot request that this message answers.
         attempt: u32,
         /// Expected wait of a further request of this tier in this shard, as a hint.
         expected_wait: Duration,
@@ -42,7 +42,7 @@
     Refused {
         /// The request.
         id: RequestId,
-        /// Number of the ask that this message answers.
+        /// Number of the slot request that this message answers.
         attempt: u32,
         /// The refusal, with its reason.
         refusal: Refusal,
@@ -53,7 +53,7 @@
     NotLeader {
         /// The request.
         id: RequestId,
-        /// Number of the ask that this message answers.
+        /// Number of the slot request that this message answers.
         attempt: u32,
     },
     /// Owner to shard scheduler: cancels a request that waits for a slot.
@@ -229,7 +229,8 @@
     pub shard: Shard,
     /// The request.
     pub id: RequestId,
-    /// Number of this ask, counted per request from 1 and echoed in the response.
+    /// Number of this slot request, counted from 1 for each request and echoed in the
+    /// response.
     pub attempt: u32,
     /// Rank of its tier.
     pub tier: u8,
@@ -254,7 +255,7 @@
     pub shard: Shard,
     /// The request.
     pub id: RequestId,
-    /// Number of the ask that this grant answers.
+    /// Number of the slot request that this grant answers.
     pub attempt: u32,
     /// The grant's number.
     pub number: GrantNumber,
--- a/crates/jaypin_core/src/reducer/arrival.rs
+++ b/crates/jaypin_core/src/reducer/arrival.rs
@@ -27,7 +27,8 @@
 const MAX_CAPACITY_REFUSALS: usize = 2;
 
 impl Reducer {
-    pub(super) fn arrived(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
+    /// Handles a new request: refuses it, claims its key, or requests a slot for it.
+    pub(super) fn handle_arrival(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
         self.record_arrival(&info, fx);
         match self.not_serving() {
             Some(reason) if reason == Reason::NotReady || !self.may_claim(now) => {
@@ -39,7 +40,7 @@
                 return self.refuse(&info, Duration::ZERO, refusal, fx);
             }
             // A call with an idempotency key is refused only after the key's owner confirmed
-            // that no earlier attempt ran; see `claim_verdict_received`.
+            // that no earlier attempt ran; see `handle_claim_verdict`.
             Some(_) | None => {}
         }
         if !self.start_claim(now, &info, fx) {
@@ -71,6 +72,8 @@
         }
     }
 
+    /// Dispatches a request to a backend server that this host chooses by itself.
+
     pub(super) fn dispatch_without_grant(
         &mut self,
         now: Instant,
@@ -91,6 +94,8 @@
         self.dispatch(now, request, Vec::new(), fx);
     }
 
+    /// Requests a slot for a request from the leader of a shard.
+
     pub(super) fn request_slot(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
         let Some((shard, leader)) = self.choose_shard(now, &info, &[]) else {
             let refusal = Refusal::not_run(Reason::NoBackend).retry_after(DEFAULT_RETRY_AFTER);
@@ -173,6 +178,9 @@
         true
     }
 
+    /// Withdraws a waiting request from its shard scheduler and requests a slot again, from
+    /// the same shard or another one. Refuses the request if no shard is left.
+
     pub(super) fn request_slot_again(
         &mut self,
         now: Instant,
@@ -208,6 +216,8 @@
         self.owner.waiting.insert(id.clone(), request);
     }
 
+    /// Sends the slot request of a waiting request to the leader of its shard.
+
     pub(super) fn send_ask(
         &mut self,
         now: Instant,
--- a/crates/jaypin_core/src/reducer/calls.rs
+++ b/crates/jaypin_core/src/reducer/calls.rs
@@ -16,6 +16,8 @@
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Reducer {
+    /// Dispatches a request to the backend server of its slot. Refuses it and returns the slot
+    /// if the backend server is no longer listed or the content is quarantined.
     pub(super) fn dispatch(
         &mut self,
         now: Instant,
@@ -53,7 +55,7 @@
         self.owner.dispatched.insert(id, request);
     }
 
-    pub(super) fn call(
+    pub(super) fn handle_call_progress(
         &mut self,
         now: Instant,
         id: &RequestId,
@@ -66,15 +68,17 @@
                     request.state.sent = true;
                 }
             }
-            CallProgress::FirstToken => self.first_token(now, id, fx),
-            CallProgress::NotSent => self.not_sent(now, id, fx),
+            CallProgress::FirstToken => self.record_first_token(now, id, fx),
+            CallProgress::NotSent => self.handle_not_sent(now, id, fx),
             CallProgress::Finished { tokens, outcome } => {
-                self.finished(now, id, tokens, outcome, fx);
+                self.handle_end(now, id, tokens, outcome, fx);
             }
         }
     }
 
-    pub(super) fn first_token(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
+    /// Records the first token of a call and reports it to the shard scheduler.
+
+    pub(super) fn record_first_token(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>,) {
         let Some(request) = self.owner.dispatched.get_mut(id) else {
             return;
         };
@@ -94,7 +98,7 @@
 
     /// Handles a refused connection. No byte was sent, so the request was not run and may
     /// request another slot.
-    pub(super) fn not_sent(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
+    pub(super) fn handle_not_sent(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
         let Some(request) = self.owner.dispatched.remove(id) else {
             return;
         };
@@ -104,7 +108,7 @@
         // The delay prevents a tight retry loop until the shard scheduler knows that the
         // backend server is down. The retries end at the first token's deadline.
         let overdue_at = now + RETRY_DELAY;
-        let ask_at = overdue_at.checked_sub(self.cfg.ask_timeout).unwrap_or(now);
+        let ask_at = overdue_at.checked_sub(self.cfg.slot_request_timeout).unwrap_or(now);
         match request.requeue(ask_at) {
             Ok(request) => {
                 record(
@@ -126,7 +130,10 @@
         }
     }
 
-    pub(super) fn finished(
+    /// Handles the end of a call: reports it to the shard scheduler, and refuses the request
+    /// if the call failed.
+
+    pub(super) fn handle_end(
         &mut self,
         now: Instant,
         id: &RequestId,
@@ -164,13 +171,18 @@
         self.refuse(&request.info, elapsed(&request, now), refusal, fx);
     }
 
+    /// Returns an unused slot to its shard scheduler.
+
     pub(super) fn return_slot(&mut self, request: &Request<Dispatched>, fx: &mut Vec<Effect>) {
         if let Some((leader, message)) = slot_progress_message(request, SlotProgress::Returned) {
             self.send(&leader, message, fx);
         }
     }
 
-    pub(super) fn caller_disconnected(&mut self, id: &RequestId, fx: &mut Vec<Effect>) {
+    /// Cancels the request of a caller that disconnected, unless it is a running call that
+    /// may not be repeated.
+
+    pub(super) fn handle_disconnect(&mut self, id: &RequestId, fx: &mut Vec<Effect>) {
         self.abandon_claim(id, fx);
         let running = self.owner.dispatched.get(id);
         if running.is_some_and(|request| request.info.repeat == Repeat::Never) {
--- a/crates/jaypin_core/src/reducer/gossip.rs
+++ b/crates/jaypin_core/src/reducer/gossip.rs
@@ -33,10 +33,14 @@
     /// Whether rules or host list changed since the last digest to the partners.
     pub versions_changed: bool,
     partners: Vec<HostId>,
+    /// Whether this host watches the platform; none before the first decision.
     watching: Option<bool>,
+    /// Hosts whose entries changed since the last message to the partners.
     changed_members: BTreeSet<HostId>,
+    /// The newest rule file, with its version.
     rule_text: Option<(u64, Arc<str>)>,
     fetching: Fetching,
+    /// Suspect hosts, with the time since when they are suspect.
     suspects: BTreeMap<HostId, Instant>,
     next_round: Option<Instant>,
     next_probe: Option<Instant>,
@@ -61,7 +65,8 @@
 }
 
 impl Reducer {
-
+    /// Handles timeouts of suspects and of starting up, and sends the digest in each gossip
+    /// round.
     pub(super) fn gossip_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.declare_suspects_dead(now, fx);
         self.stop_waiting_for_peers(now);
@@ -157,7 +162,10 @@
         }
     }
 
-    pub(super) fn digest(
+    /// Compares a peer's digest with the own one. Requests newer contents, sends the own
+    /// digest if the peer is outdated, and the bucket hashes if the tables differ.
+
+    pub(super) fn handle_digest(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -188,7 +196,9 @@
         }
     }
 
-    pub(super) fn fetch(&mut self, from: &HostId, rules: bool, hosts: bool, fx: &mut Vec<Effect>) {
+    /// Sends the requested contents to a peer.
+
+    pub(super) fn handle_fetch(&mut self, from: &HostId, rules: bool, hosts: bool, fx: &mut Vec<Effect>,) {
         if let Some((version, text)) = self.gossip.rule_text.clone().filter(|_| rules) {
             self.send(from, Message::RuleText { version, text }, fx);
         }
@@ -198,13 +208,17 @@
         }
     }
 
-    pub(super) fn offer_rules(&mut self, version: u64, text: Arc<str>, fx: &mut Vec<Effect>) {
+    /// Requests that a peer's rule file be parsed if its version is newer.
+
+    pub(super) fn parse_newer_rules(&mut self, version: u64, text: Arc<str>, fx: &mut Vec<Effect>) {
         if version > self.rules_version {
             fx.push(Effect::ParseRules { version, text });
         }
     }
 
-    pub(super) fn rule_text(&mut self, version: u64, text: Arc<str>) {
+    /// Keeps the newest rule text for peers that fetch it.
+
+    pub(super) fn store_rule_text(&mut self, version: u64, text: Arc<str>) {
         let held = self.gossip.rule_text.as_ref();
         if held.is_none_or(|(held, _)| *held < version) {
             self.gossip.rule_text = Some((version, text));
@@ -224,7 +238,9 @@
         self.gossip.caught_up = self.gossip.partners.is_empty() || now >= peer_wait_until;
     }
 
-    pub(super) fn buckets(&mut self, from: &HostId, hashes: &[u64], fx: &mut Vec<Effect>) {
+    /// Sends all entries of the buckets in which a peer's table differs.
+
+    pub(super) fn handle_buckets(&mut self, from: &HostId, hashes: &[u64], fx: &mut Vec<Effect>) {
         let own = self.membership.table().bucket_hashes();
         let whole: Vec<u8> = (0..BUCKET_COUNT)
             .filter(|index| hashes.get(*index) != Some(&own[*index]))
@@ -238,7 +254,9 @@
                 complete_buckets: whole, }, fx,);
     }
 
-    pub(super) fn members(
+    /// Applies a peer's entries, and sends back those that the peer lacks.
+
+    pub(super) fn handle_members(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -246,7 +264,7 @@
         whole: &[u8],
         fx: &mut Vec<Effect>,
     ) {
-        let lacking = self.lacking(&entries, whole);
+        let lacking = self.entries_lacking(&entries, whole);
         if !lacking.is_empty() {
             let back = Message::Members {
                 entries: lacking,
@@ -259,7 +277,7 @@
 
     /// Returns the entries of the given buckets that a peer lacks or has an older version
     /// of.
-    fn lacking(&self, theirs: &[(HostId, Member)], whole: &[u8]) -> Vec<(HostId, Member)> {
+    fn entries_lacking(&self, theirs: &[(HostId, Member)], whole: &[u8]) -> Vec<(HostId, Member)> {
         let theirs: BTreeMap<&HostId, &Member> =
             theirs.iter().map(|(host, member)| (host, member)).collect();
         let mut own = self.membership.table().in_buckets(whole);
@@ -282,7 +300,7 @@
             }
         }
         if changed {
-            self.membership_changed(now, fx);
+            self.handle_membership_change(now, fx);
         }
     }
 
@@ -311,6 +329,8 @@
         true
     }
 
+    /// Marks hosts dead that stayed suspect until the timeout.
+
     fn declare_suspects_dead(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let timeout = self.cfg.suspect_timeout;
         let overdue: Vec<HostId> = self
@@ -325,6 +345,8 @@
         }
     }
 
+    /// Marks a peer suspect or dead, unless its entry has that or a later status already.
+
     fn mark_peer(
         &mut self,
         now: Instant,
@@ -338,16 +360,21 @@
             return;
         }
         if self.apply_member(now, host, member) {
-            self.membership_changed(now, fx);
+            self.handle_membership_change(now, fx);
         }
     }
 
-    pub(super) fn peer_exited(&mut self, now: Instant, host: &HostId, fx: &mut Vec<Effect>) {
+    /// Marks a peer dead whose process has exited, and the claims that it holds as orphaned.
+
+    pub(super) fn handle_peer_exit(&mut self, now: Instant, host: &HostId, fx: &mut Vec<Effect>) {
         self.keys.orphan(host);
         self.mark_peer(now, host, MemberStatus::Dead, fx);
     }
 
-    pub(super) fn peer_unresponsive(&mut self, now: Instant, host: &HostId, fx: &mut Vec<Effect>) {
+    /// Marks a peer suspect from which nothing is received, and the claims that it holds as
+    /// orphaned.
+
+    pub(super) fn handle_peer_silence(&mut self, now: Instant, host: &HostId, fx: &mut Vec<Effect>,) {
         self.keys.orphan(host);
         self.mark_peer(now, host, MemberStatus::Suspect, fx);
     }
@@ -355,7 +382,7 @@
     /// Handles a new link. The peer authenticated, so its process runs; a new incarnation
     /// of it becomes a new entry. A peer that is marked suspect or dead learns this from
     /// the digest exchange and refutes it.
-    pub(super) fn peer_connected(
+    pub(super) fn handle_peer_link(
         &mut self,
         now: Instant,
         host: &HostId,
@@ -363,7 +390,7 @@
         fx: &mut Vec<Effect>,
     ) {
         if self.apply_member(now, host, Member::alive(incarnation)) {
-            self.membership_changed(now, fx);
+            self.handle_membership_change(now, fx);
         }
         let digest = self.own_digest();
         self.send(host, Message::Digest(digest), fx);
@@ -437,14 +464,16 @@
         self.begin_term(now, revision, fx);
     }
 
-    pub(super) fn drain(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    /// Starts the shutdown: the host publishes that it is leaving and accepts no new work.
+
+    pub(super) fn start_drain(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         if self.draining {
             return;
         }
         self.draining = true;
         self.gossip.drain_started_at = Some(now);
         self.set_own_status(MemberStatus::Leaving);
-        self.membership_changed(now, fx);
+        self.handle_membership_change(now, fx);
     }
 
     /// Returns whether this host, if it is draining, still claims keys.
@@ -453,6 +482,9 @@
         started.is_none_or(|started| now.duration_since(started) < DRAIN_CLAIM_WINDOW)
     }
 
+    /// Returns whether the drain is complete: all work is done, and the status had time to
+    /// reach the other hosts.
+
     pub(super) fn may_exit(&self, now: Instant) -> bool {
         let started = self.gossip.drain_started_at;
         let is_published =
@@ -462,10 +494,8 @@
 }
 
 /// Returns whether a version should be requested now, and if so, records the request.
-
 fn start_fetch(fetching: &mut Option<(u64, Instant)>, version: u64, now: Instant) -> bool {
-    let pending = fetching
-        .is_some_and(|(requested, at)| {
+    let pending = fetching.is_some_and(|(requested, at)| {
         requested >= version && now.duration_since(at) < FETCH_TIMEOUT
     });
     if !pending {
--- a/crates/jaypin_core/src/reducer/keys.rs
+++ b/crates/jaypin_core/src/reducer/keys.rs
@@ -82,7 +82,10 @@
         self.send(&owner, message, fx);
     }
 
-    pub(super) fn claim_verdict_received(
+    /// Handles the decision of a key's owner on a claim: requests a slot for the request,
+    /// replays the stored response, or refuses the request.
+
+    pub(super) fn handle_claim_verdict(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -194,6 +197,8 @@
         self.send(from, Message::Settle { key, id, outcome }, fx);
     }
 
+    /// Removes expired keys, and resends claims and outcomes that were not answered.
+
     pub(super) fn claims_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.keys.expire(now);
         self.handle_overdue_claims(now, fx);
@@ -240,6 +245,8 @@
         self.send_all(again, fx);
     }
 
+    /// Decides on a claim for a key of this host and sends the decision.
+
     pub(super) fn answer_claim(
         &mut self,
         now: Instant,
@@ -281,7 +288,9 @@
         }
     }
 
-    pub(super) fn settled(
+    /// Records the outcome that a holder reports for a key of this host, and confirms it.
+
+    pub(super) fn record_outcome(
         &mut self,
         from: &HostId,
         text: &str,
@@ -295,6 +304,8 @@
         self.send(from, Message::Settled { id }, fx);
     }
 
+    /// Parses a key; returns it only if this process issued it.
+
     fn own_key(&self, text: &str) -> Option<IdempotencyKey> {
         let key = IdempotencyKey::parse(text)?;
         let own = key.host == self.cfg.host && key.incarnation == self.cfg.incarnation;
--- a/crates/jaypin_core/src/reducer/knowledge.rs
+++ b/crates/jaypin_core/src/reducer/knowledge.rs
@@ -12,7 +12,8 @@
 use crate::{BackendRecord, Effect, HostId, HostList, LoadReport, Policy, Shard};
 
 impl Reducer {
-    pub(super) fn rules(&mut self, version: u64, rules: Arc<RuleSet>) {
+    /// Applies a version of the rules if it is newer.
+    pub(super) fn apply_rules(&mut self, version: u64, rules: Arc<RuleSet>) {
         // Outdated copies of the platform and delayed messages of peers carry old versions.
         // Only a greater version is applied, so an accepted rule file is never reverted.
         if version > self.rules_version {
@@ -26,22 +27,27 @@
         }
     }
 
-    pub(super) fn hosts(&mut self, now: Instant, list: HostList, fx: &mut Vec<Effect>) {
+    /// Applies a host list if it is newer.
+
+    pub(super) fn apply_host_list(&mut self, now: Instant, list: HostList, fx: &mut Vec<Effect>) {
         // Outdated copies of the platform and delayed messages of peers carry old versions;
         // only a greater version is applied.
         if self.membership.update(list, &self.cfg) {
             self.gossip.versions_changed = true;
-            self.membership_changed(now, fx);
+            self.handle_membership_change(now, fx);
         }
     }
 
-    pub(super) fn load(&mut self, now: Instant, report: &LoadReport, fx: &mut Vec<Effect>) {
+    /// Applies a backend server's load report to the baseline policy, to the membership, and
+    /// to the scheduler of its shard.
+
+    pub(super) fn apply_load_report(&mut self, now: Instant, report: &LoadReport, fx: &mut Vec<Effect>,) {
         self.baseline.apply_load_report(report);
         if self
             .membership
             .set_reported_leaving(&report.backend, report.leaving)
         {
-            self.membership_changed(now, fx);
+            self.handle_membership_change(now, fx);
         }
         // With fixed shares, a reported load includes the requests that other hosts run on
         // their shares, so the report can't correct this host's count.
@@ -57,7 +63,7 @@
 
     /// Handles a change of the host list or the membership table: chooses partners, starts
     /// and stops schedulers, and reports running requests to new leaders.
-    pub(super) fn membership_changed(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    pub(super) fn handle_membership_change(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.choose_links(fx);
         let led: BTreeSet<Shard> = self
             .membership
--- a/crates/jaypin_core/src/reducer/messages.rs
+++ b/crates/jaypin_core/src/reducer/messages.rs
@@ -9,7 +9,8 @@
 };
 
 impl Reducer {
-    pub(super) fn message(
+    /// Handles a message of a peer, or of this host to itself.
+    pub(super) fn handle_message(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -17,13 +18,13 @@
         fx: &mut Vec<Effect>,
     ) {
         match message {
-            Message::Ask(ask) => self.asked(now, from, ask, fx),
+            Message::Ask(ask) => self.handle_ask(now, from, ask, fx),
             Message::Queued {
                 id,
                 attempt,
                 expected_wait,
-            } => self.queued(now, &id, attempt, expected_wait),
-            Message::Grant(grant) => self.granted(now, from, grant, fx),
+            } => self.mark_queued(now, &id, attempt, expected_wait),
+            Message::Grant(grant) => self.handle_grant(now, from, grant, fx),
             Message::Refused {
                 id,
                 attempt,
@@ -31,10 +32,10 @@
                 expected_wait,
             } => {
                 self.record_wait(now, &id, attempt, expected_wait);
-                self.refused(now, &id, attempt, refusal, fx);
+                self.handle_refusal(now, &id, attempt, refusal, fx);
             }
             Message::Confirm { shard, id, number } => {
-                self.confirm(from, shard, id, number, fx);
+                self.confirm_grant(from, shard, id, number, fx);
             }
             Message::Usage {
                 shard,
@@ -61,7 +62,7 @@
                     scheduler.set_allowance(&account, allowance);
                 }
             }
-            Message::NotLeader { id, attempt } => self.not_leader(&id, attempt),
+            Message::NotLeader { id, attempt } => self.handle_not_leader(&id, attempt),
             Message::Withdraw { shard, id } => {
                 if let Some(scheduler) = self.schedulers.get_mut(&shard) {
                     scheduler.withdraw(&id);
@@ -82,14 +83,14 @@
             Message::InFlight { shard, running } => {
                 self.record_owner_report(now, from, &shard, running, fx);
             }
-            Message::Digest(digest) => self.digest(now, from, digest, fx),
-            Message::Fetch { rules, hosts } => self.fetch(from, rules, hosts, fx),
-            Message::RuleText { version, text } => self.offer_rules(version, text, fx),
-            Message::Hosts(list) => self.hosts(now, list, fx),
-            Message::Buckets(hashes) => self.buckets(from, &hashes, fx),
+            Message::Digest(digest) => self.handle_digest(now, from, digest, fx),
+            Message::Fetch { rules, hosts } => self.handle_fetch(from, rules, hosts, fx),
+            Message::RuleText { version, text } => self.parse_newer_rules(version, text, fx),
+            Message::Hosts(list) => self.apply_host_list(now, list, fx),
+            Message::Buckets(hashes) => self.handle_buckets(from, &hashes, fx),
             Message::Members { entries,
                 complete_buckets, } => {
-                self.members(now, from, entries, &complete_buckets, fx);
+                self.handle_members(now, from, entries, &complete_buckets, fx);
             }
             Message::BackendCrashed { backend, lost } => { self.quarantine.record_lost_call(now, &backend, lost);
             }
@@ -97,14 +98,15 @@
                 fingerprint,
                 crash_count:
                 strikes,
-            } => self.crash_count_received(now, fingerprint, strikes, fx),
+            } => self.apply_crash_count(now, fingerprint, strikes, fx),
             Message::Claim { key, id, subject } => {
                 self.answer_claim(now, from, key, id, &subject, fx);
             }
             Message::Claimed { key, id, verdict } => {
-                self.claim_verdict_received(now, from, &id, &key, verdict, fx);
+                self.handle_claim_verdict(now, from, &id, &key, verdict, fx);
+            }
+            Message::Settle { key, id, outcome } => { self.record_outcome(from, &key, id, outcome, fx);
             }
-            Message::Settle { key, id, outcome } => self.settled(from, &key, id, outcome, fx),
             Message::Settled { id } => {
                 self.claims.unsettled.remove(&id);
             }
@@ -112,7 +114,9 @@
         }
     }
 
-    pub(super) fn asked(&mut self, now: Instant, from: &HostId, ask: Ask, fx: &mut Vec<Effect>) {
+    /// Passes a slot request to the scheduler of its shard.
+
+    pub(super) fn handle_ask(&mut self, now: Instant, from: &HostId, ask: Ask, fx: &mut Vec<Effect>,) {
         let mut out = Vec::new();
         if let Some(scheduler) = self.schedulers.get_mut(&ask.shard) {
             scheduler.submit(from, ask, now, &mut out);
@@ -138,7 +142,7 @@
 
     /// Returns a slot whose grant this host does not hold, because the grant was lost in
     /// transit or its call ended while the link was down.
-    fn confirm(
+    fn confirm_grant(
         &mut self,
         from: &HostId,
         shard: Shard,
@@ -161,7 +165,7 @@
         }
     }
 
-    pub(super) fn queued(
+    pub(super) fn mark_queued(
         &mut self,
         now: Instant,
         id: &RequestId,
@@ -177,9 +181,9 @@
     }
 
     /// Handles the response of a host that does not lead the shard. The membership tables
-    /// of both hosts differ for a moment; after the ask timeout, the request is sent again
-    /// to the leader that is known then.
-    pub(super) fn not_leader(&mut self, id: &RequestId, attempt: u32) {
+    /// of both hosts differ for a moment; after `slot_request_timeout`, the slot is
+    /// requested from the leader that is known then.
+    pub(super) fn handle_not_leader(&mut self, id: &RequestId, attempt: u32) {
         if let Some(request) = self.owner.waiting.get_mut(id)
             && request.state.attempt == attempt
         {
@@ -187,7 +191,9 @@
         }
     }
 
-    pub(super) fn granted(
+    /// Dispatches the request that was granted a slot.
+
+    pub(super) fn handle_grant(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -222,7 +228,9 @@
         self.dispatch(now, request.grant(slot), grant.candidates, fx);
     }
 
-    pub(super) fn refused(
+    /// Refuses a request after its shard scheduler did, unless another shard is asked.
+
+    pub(super) fn handle_refusal(
         &mut self,
         now: Instant,
         id: &RequestId,
--- a/crates/jaypin_core/src/reducer/mod.rs
+++ b/crates/jaypin_core/src/reducer/mod.rs
@@ -56,25 +56,34 @@
 pub struct Reducer {
     cfg: Config,
     rng: ChaCha8Rng,
+    /// Version of `rules`; 0 before the first rules were applied.
     rules_version: u64,
     rules: Arc<RuleSet>,
     rule_index: Arc<RuleIndex>,
     shard_hints: ShardHints,
     limit_keeper: LimitKeeper,
+    /// Time of the next usage report; none before the first.
     next_usage: Option<Instant>,
     membership: Membership,
     owner: OwnedRequests,
+    /// Schedulers of the shards that this host leads.
     schedulers: BTreeMap<Shard, Scheduler>,
     baseline: Baseline,
     keys: KeyTable,
+    /// Time of the first event.
     started: Option<Instant>,
     claims: Claims,
     quarantine: Quarantine,
+    /// Time of the next load polls; none when they are due at once.
     next_poll: Option<Instant>,
     draining: bool,
+    /// Whether [`Effect::Exit`] was returned.
     exited: bool,
+    /// Messages of this host to itself, handled within the same call of [`Self::apply`].
     inbox: VecDeque<Message>,
     gossip: Gossip,
+    /// Leadership terms at the last check; their leaders were sent the running requests of
+    /// this host.
     terms: BTreeMap<Shard, Term>,
     rebuilds: Rebuilds,
     last_event: Option<Instant>,
@@ -183,7 +192,9 @@
     #[must_use]
     pub fn shard_reports(&self, now: Instant) -> Vec<ShardReport> {
         let schedulers = self.schedulers.values();
-        schedulers.map(|scheduler| scheduler.shard_report(now)).collect()
+        schedulers
+            .map(|scheduler| scheduler.shard_report(now))
+            .collect()
     }
 
     /// Returns how many request contents are suspected or quarantined, for operators.
@@ -220,27 +231,27 @@
 
     fn handle_event(&mut self, now: Instant, event: Event, fx: &mut Vec<Effect>) {
         match event {
-            Event::Arrived(info) => self.arrived(now, info, fx),
-            Event::CallerDisconnected(id) => self.caller_disconnected(&id, fx),
-            Event::Call { id, progress } => self.call(now, &id, progress, fx),
+            Event::Arrived(info) => self.handle_arrival(now, info, fx),
+            Event::CallerDisconnected(id) => self.handle_disconnect(&id, fx),
+            Event::Call { id, progress } => self.handle_call_progress(now, &id, progress, fx),
             Event::KeyedCallAnswered { id, answer } => {
                 self.settle(&id, KeyOutcome::Answered(answer), fx);
             }
-            Event::Load(report) => self.load(now, &report, fx),
+            Event::Load(report) => self.apply_load_report(now, &report, fx),
             Event::Link { from, message } => {
                 if let Some(message) = message.with_bounds() {
-                    self.message(now, &from, message, fx);
+                    self.handle_message(now, &from, message, fx);
                 }
             }
-            Event::PeerExited(host) => self.peer_exited(now, &host, fx),
-            Event::PeerUnresponsive(host) => self.peer_unresponsive(now, &host, fx),
+            Event::PeerExited(host) => self.handle_peer_exit(now, &host, fx),
+            Event::PeerUnresponsive(host) => self.handle_peer_silence(now, &host, fx),
             Event::PeerConnected { host, incarnation } => {
-                self.peer_connected(now, &host, incarnation, fx);
+                self.handle_peer_link(now, &host, incarnation, fx);
             }
-            Event::Hosts(list) => self.hosts(now, list, fx),
-            Event::Rules { version, rules } => self.rules(version, rules),
-            Event::RuleText { version, text } => self.rule_text(version, text),
-            Event::Drain => self.drain(now, fx),
+            Event::Hosts(list) => self.apply_host_list(now, list, fx),
+            Event::Rules { version, rules } => self.apply_rules(version, rules),
+            Event::RuleText { version, text } => self.store_rule_text(version, text),
+            Event::Drain => self.start_drain(now, fx),
             Event::Tick => self.tick(now, fx),
         }
     }
@@ -253,6 +264,8 @@
         }
     }
 
+    /// Sends a message to a peer, or queues it if it is for this host itself.
+
     fn send(&mut self, to: &HostId, message: Message, fx: &mut Vec<Effect>) {
         if *to == self.cfg.host {
             self.inbox.push_back(message);
@@ -269,8 +282,8 @@
         self.owner.is_idle() && self.claims.is_idle(now, DRAIN_SETTLE_TIMEOUT)
     }
 
-    fn send_all(&mut self, letters: Vec<OutgoingMessage>, fx: &mut Vec<Effect>) {
-        for (to, message) in letters {
+    fn send_all(&mut self, messages: Vec<OutgoingMessage>, fx: &mut Vec<Effect>) {
+        for (to, message) in messages {
             self.send(&to, message, fx);
         }
     }
@@ -284,6 +297,9 @@
         record(info, Duration::ZERO, step, fx);
     }
 
+    /// Refuses a request, ends its claim and records the refusal. `after` is the time since
+    /// the request arrived.
+
     fn refuse(
         &mut self,
         info: &RequestInfo,
@@ -305,10 +321,14 @@
     }
 }
 
+/// Returns the time since a request arrived.
+
 fn elapsed(request: &Request<Dispatched>, now: Instant) -> Duration {
     now.duration_since(request.arrived_at)
 }
 
+/// Records a step of a request's decision. `after` is the time since the request arrived.
+
 fn record(info: &RequestInfo, after: Duration, step: Step, fx: &mut Vec<Effect>) {
     let (id, account) = (info.id.clone(), info.account.clone());
     fx.push(Effect::Record(Record {
--- a/crates/jaypin_core/src/reducer/poison.rs
+++ b/crates/jaypin_core/src/reducer/poison.rs
@@ -34,16 +34,21 @@
         self.send(&leader, crash, fx);
     }
 
+    /// Removes expired suspicions, evaluates crashes, and sends the new crash counts to the
+    /// partners.
+
     pub(super) fn quarantine_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let rule = &self.rules.quarantine;
         let (limit, hold) = (rule.crash_limit.max(1), rule.duration);
         self.quarantine.expire(now, hold);
         for (fingerprint, strikes) in self.quarantine.evaluate_crashes(now, limit) {
-            self.spread(fingerprint, strikes, fx);
+            self.send_crash_count(fingerprint, strikes, fx);
         }
     }
 
-    pub(super) fn crash_count_received(
+    /// Applies a crash count that a partner sent, and forwards it if it is new.
+
+    pub(super) fn apply_crash_count(
         &mut self,
         now: Instant,
         fingerprint: u64,
@@ -51,12 +56,12 @@
         fx: &mut Vec<Effect>,
     ) {
         if self.quarantine.record_crash_count(now, fingerprint, strikes) {
-            self.spread(fingerprint, strikes, fx);
+            self.send_crash_count(fingerprint, strikes, fx);
         }
     }
 
     /// Sends a new crash count to the partners only; each of them forwards it once.
-    fn spread(&mut self, fingerprint: u64, strikes: u32, fx: &mut Vec<Effect>) {
+    fn send_crash_count(&mut self, fingerprint: u64, strikes: u32, fx: &mut Vec<Effect>) {
         let message = Message::CrashCount {
             fingerprint,
             crash_count:
--- a/crates/jaypin_core/src/reducer/succession.rs
+++ b/crates/jaypin_core/src/reducer/succession.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Rebuilds {
     awaited: BTreeMap<Shard, Rebuild>,
-    early: Vec<EarlyReport>,
+    early_reports: Vec<EarlyReport>,
 }
 
 /// A report for a shard that this host does not lead yet, from an owner that received the
@@ -33,7 +33,6 @@
 }
 
 /// Owners and backend servers that a new scheduler still waits for, at most until `until`.
-
 #[derive(Debug)]
 struct Rebuild {
     until: Instant,
@@ -75,9 +74,9 @@
     /// Returns the first part of the grant numbers of a scheduler that starts now, in
     /// milliseconds since the Unix epoch by this host's clock.
     ///
-    /// Backend servers reject calls whose grant number is smaller than an earlier one. A
-    /// later scheduler therefore needs greater numbers, also when its host's process is
-    /// older than that of the former leader.
+    /// Backend servers reject calls whose grant number is smaller than an earlier one. A new
+    /// scheduler needs greater numbers than its predecessor also when its host's process is
+    /// the older one; otherwise all its calls would be rejected.
     fn grant_incarnation(&self, now: Instant) -> Incarnation {
         let running = self
             .started
@@ -94,9 +93,11 @@
     pub(super) fn restart_schedulers(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.schedulers.clear();
         self.rebuilds.awaited.clear();
-        self.membership_changed(now, fx);
+        self.handle_membership_change(now, fx);
     }
 
+    /// Applies an owner's report of its running requests to the scheduler of their shard.
+
     pub(super) fn record_owner_report(
         &mut self,
         now: Instant,
@@ -129,7 +130,7 @@
         running: Vec<InFlight>,
     ) {
         self.drop_expired_reports(now);
-        self.rebuilds.early.push(EarlyReport {
+        self.rebuilds.early_reports.push(EarlyReport {
             at: now,
             from: from.clone(),
             shard: shard.clone(),
@@ -138,10 +139,12 @@
     }
 
     fn drop_expired_reports(&mut self, now: Instant) {
-        let early = &mut self.rebuilds.early;
+        let early = &mut self.rebuilds.early_reports;
         early.retain(|report| now.duration_since(report.at) < EARLY_REPORT_EXPIRY);
     }
 
+    /// Applies the reports that arrived before this host led the shard.
+
     pub(super) fn apply_early_reports(
         &mut self,
         now: Instant,
@@ -149,15 +152,17 @@
         fx: &mut Vec<Effect>,
     ) {
         self.drop_expired_reports(now);
-        let early = std::mem::take(&mut self.rebuilds.early);
+        let early = std::mem::take(&mut self.rebuilds.early_reports);
         let (applied, kept) = early.into_iter().partition(|report| report.shard == *shard);
-        self.rebuilds.early = kept;
+        self.rebuilds.early_reports = kept;
         let applied: Vec<EarlyReport> = applied;
         for report in applied {
             self.record_owner_report(now, &report.from, shard, report.running, fx);
         }
     }
 
+    /// Records that a backend server reported its load, which new schedulers wait for.
+
     pub(super) fn record_backend_report(
         &mut self,
         now: Instant,
@@ -250,6 +255,9 @@
         self.send(&leader, Message::InFlight { shard, running }, fx);
     }
 
+    /// Requests slots again for the waiting requests of shards whose term changed or that have
+    /// no leader any more.
+
     fn request_slots_again(
         &mut self,
         now: Instant,
--- a/crates/jaypin_core/src/reducer/time.rs
+++ b/crates/jaypin_core/src/reducer/time.rs
@@ -7,6 +7,7 @@
 use crate::{Effect, Message, Policy, Reason, Refusal, RequestId};
 
 impl Reducer {
+    /// Does the periodic work of all parts of the reducer.
     pub(super) fn tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.gossip_tick(now, fx);
         self.end_rebuilds(now, fx);
@@ -29,8 +30,8 @@
     /// Requests a slot again for requests whose shard scheduler did not respond in time, and
     /// refuses requests whose first token is overdue.
     ///
-    /// The shard scheduler may have exited or never received the ask. Nothing was
-    /// dispatched, so asking again, or asking its successor, is safe.
+    /// The shard scheduler may have exited or never received the slot request. Nothing was
+    /// dispatched, so sending it again, or to a new leader, is safe.
     pub(super) fn handle_overdue_requests(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let mut overdue = Vec::new();
         let mut late = Vec::new();
@@ -38,7 +39,7 @@
             if now.duration_since(request.arrived_at) >= request.info.first_token_due_in {
                 late.push(id.clone());
             } else if !request.state.queued
-                && now.duration_since(request.state.requested_at) >= self.cfg.ask_timeout
+                && now.duration_since(request.state.requested_at) >= self.cfg.slot_request_timeout
             {
                 overdue.push(id.clone());
             }
@@ -51,6 +52,8 @@
         }
     }
 
+    /// Refuses a waiting request whose first token is overdue.
+
     pub(super) fn refuse_too_late(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
         let Some(request) = self.owner.waiting.remove(id) else {
             return;
@@ -87,6 +90,9 @@
         );
     }
 
+    /// Requests load reports of the backend servers in the shards that this host leads, or of
+    /// all backend servers under [`Policy::Baseline`].
+
     pub(super) fn poll_loads(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         if self.next_poll.is_some_and(|at| now < at) {
             return;
