--- a/crates/jaypin_core/src/host_list.rs
+++ b/crates/jaypin_core/src/host_list.rs
@@ -40,7 +40,7 @@
     pub failure_domain: FailureDomain,
     /// Whether it accepts new work.
     pub presence: Presence,
-    /// Number of requests that it can run at once, as its operator states it.
+    /// Number of requests that it can run at once, as stated by its maker.
     pub slots: u32,
 }
 
--- a/crates/jaypin_core/src/keys.rs
+++ b/crates/jaypin_core/src/keys.rs
@@ -137,7 +137,7 @@
 
 #[derive(Debug)]
 enum State {
-    /// A request holds the claim.
+    /// Request `id` of `host` holds the claim.
     ChangeStatus { host: HostId, id: RequestId },
     /// The holder can't be reached. Only an outcome that the holder reports may still
     /// settle the claim.
@@ -151,12 +151,19 @@
 /// The claims on the keys that this host's process issued.
 #[derive(Debug, Default)]
 pub struct KeyTable {
+    /// Start of period 0; none before the first use.
     started: Option<Instant>,
+    /// The current period, as of the last update.
     newest: u64,
+    /// Entries by the period and the unique part of their key.
     periods: BTreeMap<u64, BTreeMap<Arc<str>, Entry>>,
+    /// Number of entries in all periods.
     count: usize,
+    /// Number of entries of each account.
     by_account: BTreeMap<AccountId, usize>,
+    /// Period, unique part and size in bytes of the stored responses, oldest first.
     answers: VecDeque<(u64, Arc<str>, usize)>,
+    /// Total size of the stored responses, in bytes.
     answer_bytes: usize,
 }
 
--- a/crates/jaypin_core/src/limit_keeper.rs
+++ b/crates/jaypin_core/src/limit_keeper.rs
@@ -22,12 +22,16 @@
 /// Demand of an account that a shard last reported.
 #[derive(Debug, Clone, Copy)]
 struct ShardUsage {
+    /// Decayed sum of requested tokens, as of `at`.
     tokens: f64,
+    /// Requests that ran or were ready to run at once.
     at_once: f64,
+    /// Time of the report.
     at: Instant,
 }
 
 impl ShardUsage {
+    /// Returns the decayed sum of requested tokens at a later time.
     fn tokens_at(self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at).as_secs_f64();
         self.tokens * (-age / AVERAGING_TIME.as_secs_f64()).exp()
--- a/crates/jaypin_core/src/membership.rs
+++ b/crates/jaypin_core/src/membership.rs
@@ -26,8 +26,10 @@
     shards: ShardMap,
     table: MemberTable,
     leaders: BTreeMap<Shard, HostId>,
+    /// Positions of the backend servers in `list`.
     backend_indices: HashMap<BackendId, usize>,
     epoch: u64,
+    /// Backend servers that report that they are shutting down.
     reported_leaving: BTreeSet<BackendId>,
 }
 
