--- a/crates/jaypin_core/src/message.rs
+++ b/crates/jaypin_core/src/message.rs
@@ -168,8 +168,8 @@
         /// The request.
         id: RequestId,
     },
-    /// To a partner, in every gossip round and at every change: the versions that the
-    /// sender has.
+    /// To a partner, in every gossip round (about once a second) and at every change: the
+    /// versions that the sender has.
     Digest(Digest),
     /// To a peer that has newer versions: requests their contents.
     Fetch {
