--- a/crates/jaypin_core/src/keys.rs
+++ b/crates/jaypin_core/src/keys.rs
@@ -138,7 +138,7 @@
 #[derive(Debug)]
 enum State {
     /// Request `id` of `host` holds the claim.
-    ChangeStatus { host: HostId, id: RequestId },
+    Held { host: HostId, id: RequestId },
     /// The holder can't be reached. Only an outcome that the holder reports may still
     /// settle the claim.
     Orphaned { id: RequestId },
@@ -218,7 +218,7 @@
         let held_by_account = self.by_account.get(&subject.account).copied();
         let full = self.count >= MAX_KEYS || held_by_account >= Some(MAX_KEYS_PER_ACCOUNT);
         let period = self.periods.entry(key.period).or_default();
-        let held = State::ChangeStatus {
+        let held = State::Held {
             host: host.clone(),
             id: id.clone(),
         };
@@ -242,11 +242,11 @@
         }
         match &entry.state {
             // The holder resends its claim when it did not receive the first response.
-            State::ChangeStatus { id: holder, .. } | State::Orphaned { id: holder } if holder == id => {
+            State::Held { id: holder, .. } | State::Orphaned { id: holder } if holder == id => {
                 entry.state = held;
                 ClaimVerdict::Granted
             }
-            State::ChangeStatus { .. } => ClaimVerdict::InFlight,
+            State::Held { .. } => ClaimVerdict::InFlight,
             State::Orphaned { .. } | State::Unknown => ClaimVerdict::Unknown,
             State::Answered(answer) => ClaimVerdict::Done(answer.clone()),
         }
@@ -257,7 +257,7 @@
     #[must_use]
     pub fn holder(&self, key: &IdempotencyKey) -> Option<(&HostId, &RequestId)> {
         match &self.periods.get(&key.period)?.get(&key.unique)?.state {
-            State::ChangeStatus { host, id } => Some((host, id)),
+            State::Held { host, id } => Some((host, id)),
             _ => None,
         }
     }
@@ -272,7 +272,7 @@
         };
         let by_holder = matches!(
             &entry.state,
-            State::ChangeStatus { id: holder, .. } | State::Orphaned { id: holder } if holder == id
+            State::Held { id: holder, .. } | State::Orphaned { id: holder } if holder == id
         );
         if !by_holder {
             return;
@@ -308,7 +308,7 @@
     pub fn orphan(&mut self, lost: &HostId) {
         let entries = self.periods.values_mut().flat_map(BTreeMap::values_mut);
         for entry in entries {
-            if let State::ChangeStatus { host, id } = &entry.state
+            if let State::Held { host, id } = &entry.state
                 && host == lost
             {
                 entry.state = State::Orphaned { id: id.clone() };
--- a/crates/jaypin_core/src/lib.rs
+++ b/crates/jaypin_core/src/lib.rs
@@ -51,7 +51,7 @@
 pub use member::{Member, MemberStatus, MemberTable};
 pub use membership::Membership;
 pub use message::{
-    Ask, Candidate, Digest, Grant, GrantNumber, InFlight, Lost, Message, SlotProgress,
+    Ask, Candidate, Digest, Grant, GrantNumber, InFlight, LostCall, Message, SlotProgress,
 };
 pub use outcome::{Ran, Reason, Refusal};
 pub use partners::partners;
--- a/crates/jaypin_core/src/message.rs
+++ b/crates/jaypin_core/src/message.rs
@@ -118,7 +118,7 @@
         /// The backend server.
         backend: BackendId,
         /// The lost call.
-        lost: Lost,
+        lost: LostCall,
     },
     /// To a partner: a request fingerprint during whose calls backend servers crashed.
     CrashCount {
@@ -203,7 +203,7 @@
 
 /// A call that was lost with its backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Lost {
+pub struct LostCall {
     /// Fingerprint of its content, salted by account.
     pub fingerprint: u64,
     /// Whether its first token had been received.
--- a/crates/jaypin_core/src/quarantine.rs
+++ b/crates/jaypin_core/src/quarantine.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::{BackendId, Lost};
+use crate::{BackendId, LostCall};
 
 /// Time in which calls lost on one backend server count as lost together.
 const DEATH_WINDOW: Duration = Duration::from_millis(500);
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct Death {
     since: Instant,
-    lost: Vec<Lost>,
+    lost: Vec<LostCall>,
 }
 
 /// How many contents are suspected, and how many of them are refused.
@@ -98,7 +98,7 @@
     }
 
     /// A call was lost because its backend server died.
-    pub fn record_lost_call(&mut self, now: Instant, backend: &BackendId, lost: Lost) {
+    pub fn record_lost_call(&mut self, now: Instant, backend: &BackendId, lost: LostCall) {
         if self.deaths.len() >= MAX_DEATHS && !self.deaths.contains_key(backend) {
             return;
         }
--- a/crates/jaypin_core/src/reducer/calls.rs
+++ b/crates/jaypin_core/src/reducer/calls.rs
@@ -77,8 +77,12 @@
     }
 
     /// Records the first token of a call and reports it to the shard scheduler.
-
-    pub(super) fn record_first_token(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>,) {
+    pub(super) fn record_first_token(
+        &mut self,
+        now: Instant,
+        id: &RequestId,
+        fx: &mut Vec<Effect>,
+    ) {
         let Some(request) = self.owner.dispatched.get_mut(id) else {
             return;
         };
@@ -108,7 +112,9 @@
         // The delay prevents a tight retry loop until the shard scheduler knows that the
         // backend server is down. The retries end at the first token's deadline.
         let overdue_at = now + RETRY_DELAY;
-        let ask_at = overdue_at.checked_sub(self.cfg.slot_request_timeout).unwrap_or(now);
+        let ask_at = overdue_at
+            .checked_sub(self.cfg.slot_request_timeout)
+            .unwrap_or(now);
         match request.requeue(ask_at) {
             Ok(request) => {
                 record(
@@ -132,7 +138,6 @@
 
     /// Handles the end of a call: reports it to the shard scheduler, and refuses the request
     /// if the call failed.
-
     pub(super) fn handle_end(
         &mut self,
         now: Instant,
@@ -149,7 +154,10 @@
         let progress = SlotProgress::Finished {
             tokens,
             after: now.duration_since(request.state.sent_at),
-            lost: matches!(outcome, CallOutcome::ConnectionLost | CallOutcome::BackendCrashed),
+            lost: matches!(
+                outcome,
+                CallOutcome::ConnectionLost | CallOutcome::BackendCrashed
+            ),
         };
         if let Some((leader, message)) = slot_progress_message(&request, progress) {
             self.send(&leader, message, fx);
@@ -172,7 +180,6 @@
     }
 
     /// Returns an unused slot to its shard scheduler.
-
     pub(super) fn return_slot(&mut self, request: &Request<Dispatched>, fx: &mut Vec<Effect>) {
         if let Some((leader, message)) = slot_progress_message(request, SlotProgress::Returned) {
             self.send(&leader, message, fx);
@@ -181,7 +188,6 @@
 
     /// Cancels the request of a caller that disconnected, unless it is a running call that
     /// may not be repeated.
-
     pub(super) fn handle_disconnect(&mut self, id: &RequestId, fx: &mut Vec<Effect>) {
         self.abandon_claim(id, fx);
         let running = self.owner.dispatched.get(id);
--- a/crates/jaypin_core/src/reducer/gossip.rs
+++ b/crates/jaypin_core/src/reducer/gossip.rs
@@ -121,9 +121,15 @@
         let digest = self.own_digest();
         for partner in self.gossip.partners.clone() {
             if !entries.is_empty() {
-                let (entries, whole) = (entries.clone(), Vec::new());
-                self.send(&partner, Message::Members { entries,
-                        complete_buckets: whole, }, fx,);
+                let (entries, complete_buckets) = (entries.clone(), Vec::new());
+                self.send(
+                    &partner,
+                    Message::Members {
+                        entries,
+                        complete_buckets,
+                    },
+                    fx,
+                );
             }
             if versions_changed {
                 self.send(&partner, Message::Digest(digest), fx);
@@ -164,7 +170,6 @@
 
     /// Compares a peer's digest with the own one. Requests newer contents, sends the own
     /// digest if the peer is outdated, and the bucket hashes if the tables differ.
-
     pub(super) fn handle_digest(
         &mut self,
         now: Instant,
@@ -197,8 +202,13 @@
     }
 
     /// Sends the requested contents to a peer.
-
-    pub(super) fn handle_fetch(&mut self, from: &HostId, rules: bool, hosts: bool, fx: &mut Vec<Effect>,) {
+    pub(super) fn handle_fetch(
+        &mut self,
+        from: &HostId,
+        rules: bool,
+        hosts: bool,
+        fx: &mut Vec<Effect>,
+    ) {
         if let Some((version, text)) = self.gossip.rule_text.clone().filter(|_| rules) {
             self.send(from, Message::RuleText { version, text }, fx);
         }
@@ -209,7 +219,6 @@
     }
 
     /// Requests that a peer's rule file be parsed if its version is newer.
-
     pub(super) fn parse_newer_rules(&mut self, version: u64, text: Arc<str>, fx: &mut Vec<Effect>) {
         if version > self.rules_version {
             fx.push(Effect::ParseRules { version, text });
@@ -217,7 +226,6 @@
     }
 
     /// Keeps the newest rule text for peers that fetch it.
-
     pub(super) fn store_rule_text(&mut self, version: u64, text: Arc<str>) {
         let held = self.gossip.rule_text.as_ref();
         if held.is_none_or(|(held, _)| *held < version) {
@@ -239,48 +247,56 @@
     }
 
     /// Sends all entries of the buckets in which a peer's table differs.
-
     pub(super) fn handle_buckets(&mut self, from: &HostId, hashes: &[u64], fx: &mut Vec<Effect>) {
         let own = self.membership.table().bucket_hashes();
-        let whole: Vec<u8> = (0..BUCKET_COUNT)
+        let differing: Vec<u8> = (0..BUCKET_COUNT)
             .filter(|index| hashes.get(*index) != Some(&own[*index]))
             .filter_map(|index| u8::try_from(index).ok())
             .collect();
-        if whole.is_empty() {
+        if differing.is_empty() {
             return;
         }
-        let entries = self.membership.table().in_buckets(&whole);
-        self.send(from, Message::Members { entries,
-                complete_buckets: whole, }, fx,);
+        let entries = self.membership.table().in_buckets(&differing);
+        self.send(
+            from,
+            Message::Members {
+                entries,
+                complete_buckets: differing,
+            },
+            fx,
+        );
     }
 
     /// Applies a peer's entries, and sends back those that the peer lacks.
-
     pub(super) fn handle_members(
         &mut self,
         now: Instant,
         from: &HostId,
         entries: Vec<(HostId, Member)>,
-        whole: &[u8],
+        complete_buckets: &[u8],
         fx: &mut Vec<Effect>,
     ) {
-        let lacking = self.entries_lacking(&entries, whole);
+        let lacking = self.entries_lacking(&entries, complete_buckets);
         if !lacking.is_empty() {
-            let back = Message::Members {
+            let response = Message::Members {
                 entries: lacking,
                 complete_buckets: Vec::new(),
             };
-            self.send(from, back, fx);
+            self.send(from, response, fx);
         }
         self.apply_members(now, entries, fx);
     }
 
     /// Returns the entries of the given buckets that a peer lacks or has an older version
     /// of.
-    fn entries_lacking(&self, theirs: &[(HostId, Member)], whole: &[u8]) -> Vec<(HostId, Member)> {
+    fn entries_lacking(
+        &self,
+        theirs: &[(HostId, Member)],
+        complete_buckets: &[u8],
+    ) -> Vec<(HostId, Member)> {
         let theirs: BTreeMap<&HostId, &Member> =
             theirs.iter().map(|(host, member)| (host, member)).collect();
-        let mut own = self.membership.table().in_buckets(whole);
+        let mut own = self.membership.table().in_buckets(complete_buckets);
         own.retain(|(host, member)| theirs.get(host).is_none_or(|theirs| **theirs < *member));
         own
     }
@@ -330,7 +346,6 @@
     }
 
     /// Marks hosts dead that stayed suspect until the timeout.
-
     fn declare_suspects_dead(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let timeout = self.cfg.suspect_timeout;
         let overdue: Vec<HostId> = self
@@ -346,7 +361,6 @@
     }
 
     /// Marks a peer suspect or dead, unless its entry has that or a later status already.
-
     fn mark_peer(
         &mut self,
         now: Instant,
@@ -365,7 +379,6 @@
     }
 
     /// Marks a peer dead whose process has exited, and the claims that it holds as orphaned.
-
     pub(super) fn handle_peer_exit(&mut self, now: Instant, host: &HostId, fx: &mut Vec<Effect>) {
         self.keys.orphan(host);
         self.mark_peer(now, host, MemberStatus::Dead, fx);
@@ -373,8 +386,12 @@
 
     /// Marks a peer suspect from which nothing is received, and the claims that it holds as
     /// orphaned.
-
-    pub(super) fn handle_peer_silence(&mut self, now: Instant, host: &HostId, fx: &mut Vec<Effect>,) {
+    pub(super) fn handle_peer_silence(
+        &mut self,
+        now: Instant,
+        host: &HostId,
+        fx: &mut Vec<Effect>,
+    ) {
         self.keys.orphan(host);
         self.mark_peer(now, host, MemberStatus::Suspect, fx);
     }
@@ -465,7 +482,6 @@
     }
 
     /// Starts the shutdown: the host publishes that it is leaving and accepts no new work.
-
     pub(super) fn start_drain(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         if self.draining {
             return;
@@ -484,7 +500,6 @@
 
     /// Returns whether the drain is complete: all work is done, and the status had time to
     /// reach the other hosts.
-
     pub(super) fn may_exit(&self, now: Instant) -> bool {
         let started = self.gossip.drain_started_at;
         let is_published =
--- a/crates/jaypin_core/src/reducer/keys.rs
+++ b/crates/jaypin_core/src/reducer/keys.rs
@@ -84,7 +84,6 @@
 
     /// Handles the decision of a key's owner on a claim: requests a slot for the request,
     /// replays the stored response, or refuses the request.
-
     pub(super) fn handle_claim_verdict(
         &mut self,
         now: Instant,
@@ -198,7 +197,6 @@
     }
 
     /// Removes expired keys, and resends claims and outcomes that were not answered.
-
     pub(super) fn claims_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.keys.expire(now);
         self.handle_overdue_claims(now, fx);
@@ -246,7 +244,6 @@
     }
 
     /// Decides on a claim for a key of this host and sends the decision.
-
     pub(super) fn answer_claim(
         &mut self,
         now: Instant,
@@ -289,7 +286,6 @@
     }
 
     /// Records the outcome that a holder reports for a key of this host, and confirms it.
-
     pub(super) fn record_outcome(
         &mut self,
         from: &HostId,
@@ -305,7 +301,6 @@
     }
 
     /// Parses a key; returns it only if this process issued it.
-
     fn own_key(&self, text: &str) -> Option<IdempotencyKey> {
         let key = IdempotencyKey::parse(text)?;
         let own = key.host == self.cfg.host && key.incarnation == self.cfg.incarnation;
--- a/crates/jaypin_core/src/reducer/knowledge.rs
+++ b/crates/jaypin_core/src/reducer/knowledge.rs
@@ -28,7 +28,6 @@
     }
 
     /// Applies a host list if it is newer.
-
     pub(super) fn apply_host_list(&mut self, now: Instant, list: HostList, fx: &mut Vec<Effect>) {
         // Outdated copies of the platform and delayed messages of peers carry old versions;
         // only a greater version is applied.
@@ -40,8 +39,12 @@
 
     /// Applies a backend server's load report to the baseline policy, to the membership, and
     /// to the scheduler of its shard.
-
-    pub(super) fn apply_load_report(&mut self, now: Instant, report: &LoadReport, fx: &mut Vec<Effect>,) {
+    pub(super) fn apply_load_report(
+        &mut self,
+        now: Instant,
+        report: &LoadReport,
+        fx: &mut Vec<Effect>,
+    ) {
         self.baseline.apply_load_report(report);
         if self
             .membership
--- a/crates/jaypin_core/src/reducer/messages.rs
+++ b/crates/jaypin_core/src/reducer/messages.rs
@@ -88,24 +88,27 @@
             Message::RuleText { version, text } => self.parse_newer_rules(version, text, fx),
             Message::Hosts(list) => self.apply_host_list(now, list, fx),
             Message::Buckets(hashes) => self.handle_buckets(from, &hashes, fx),
-            Message::Members { entries,
-                complete_buckets, } => {
+            Message::Members {
+                entries,
+                complete_buckets,
+            } => {
                 self.handle_members(now, from, entries, &complete_buckets, fx);
             }
-            Message::BackendCrashed { backend, lost } => { self.quarantine.record_lost_call(now, &backend, lost);
+            Message::BackendCrashed { backend, lost } => {
+                self.quarantine.record_lost_call(now, &backend, lost);
             }
             Message::CrashCount {
                 fingerprint,
-                crash_count:
-                strikes,
-            } => self.apply_crash_count(now, fingerprint, strikes, fx),
+                crash_count,
+            } => self.apply_crash_count(now, fingerprint, crash_count, fx),
             Message::Claim { key, id, subject } => {
                 self.answer_claim(now, from, key, id, &subject, fx);
             }
             Message::Claimed { key, id, verdict } => {
                 self.handle_claim_verdict(now, from, &id, &key, verdict, fx);
             }
-            Message::Settle { key, id, outcome } => { self.record_outcome(from, &key, id, outcome, fx);
+            Message::Settle { key, id, outcome } => {
+                self.record_outcome(from, &key, id, outcome, fx);
             }
             Message::Settled { id } => {
                 self.claims.unsettled.remove(&id);
@@ -115,8 +118,13 @@
     }
 
     /// Passes a slot request to the scheduler of its shard.
-
-    pub(super) fn handle_ask(&mut self, now: Instant, from: &HostId, ask: Ask, fx: &mut Vec<Effect>,) {
+    pub(super) fn handle_ask(
+        &mut self,
+        now: Instant,
+        from: &HostId,
+        ask: Ask,
+        fx: &mut Vec<Effect>,
+    ) {
         let mut out = Vec::new();
         if let Some(scheduler) = self.schedulers.get_mut(&ask.shard) {
             scheduler.submit(from, ask, now, &mut out);
@@ -136,7 +144,8 @@
             && request.state.attempt == attempt
         {
             let tier = request.info.tier;
-            self.shard_hints.record_wait(&request.state.shard, tier, wait, now);
+            self.shard_hints
+                .record_wait(&request.state.shard, tier, wait, now);
         }
     }
 
@@ -192,7 +201,6 @@
     }
 
     /// Dispatches the request that was granted a slot.
-
     pub(super) fn handle_grant(
         &mut self,
         now: Instant,
@@ -229,7 +237,6 @@
     }
 
     /// Refuses a request after its shard scheduler did, unless another shard is asked.
-
     pub(super) fn handle_refusal(
         &mut self,
         now: Instant,
--- a/crates/jaypin_core/src/reducer/mod.rs
+++ b/crates/jaypin_core/src/reducer/mod.rs
@@ -265,7 +265,6 @@
     }
 
     /// Sends a message to a peer, or queues it if it is for this host itself.
-
     fn send(&mut self, to: &HostId, message: Message, fx: &mut Vec<Effect>) {
         if *to == self.cfg.host {
             self.inbox.push_back(message);
@@ -299,7 +298,6 @@
 
     /// Refuses a request, ends its claim and records the refusal. `after` is the time since
     /// the request arrived.
-
     fn refuse(
         &mut self,
         info: &RequestInfo,
@@ -322,13 +320,11 @@
 }
 
 /// Returns the time since a request arrived.
-
 fn elapsed(request: &Request<Dispatched>, now: Instant) -> Duration {
     now.duration_since(request.arrived_at)
 }
 
 /// Records a step of a request's decision. `after` is the time since the request arrived.
-
 fn record(info: &RequestInfo, after: Duration, step: Step, fx: &mut Vec<Effect>) {
     let (id, account) = (info.id.clone(), info.account.clone());
     fx.push(Effect::Record(Record {
--- a/crates/jaypin_core/src/reducer/succession.rs
+++ b/crates/jaypin_core/src/reducer/succession.rs
@@ -97,7 +97,6 @@
     }
 
     /// Applies an owner's report of its running requests to the scheduler of their shard.
-
     pub(super) fn record_owner_report(
         &mut self,
         now: Instant,
@@ -144,7 +143,6 @@
     }
 
     /// Applies the reports that arrived before this host led the shard.
-
     pub(super) fn apply_early_reports(
         &mut self,
         now: Instant,
@@ -162,7 +160,6 @@
     }
 
     /// Records that a backend server reported its load, which new schedulers wait for.
-
     pub(super) fn record_backend_report(
         &mut self,
         now: Instant,
@@ -257,7 +254,6 @@
 
     /// Requests slots again for the waiting requests of shards whose term changed or that have
     /// no leader any more.
-
     fn request_slots_again(
         &mut self,
         now: Instant,
--- a/crates/jaypin_core/src/reducer/time.rs
+++ b/crates/jaypin_core/src/reducer/time.rs
@@ -53,7 +53,6 @@
     }
 
     /// Refuses a waiting request whose first token is overdue.
-
     pub(super) fn refuse_too_late(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
         let Some(request) = self.owner.waiting.remove(id) else {
             return;
@@ -62,8 +61,7 @@
             shard,
             leader,
             queued,
-            connection_refused:
-            unreached,
+            connection_refused,
             ..
         } = request.state;
         self.send(
@@ -76,7 +74,7 @@
         );
         let reason = if queued {
             Reason::TooLate
-        } else if unreached {
+        } else if connection_refused {
             Reason::NoBackend
         } else {
             Reason::NoScheduler
@@ -92,7 +90,6 @@
 
     /// Requests load reports of the backend servers in the shards that this host leads, or of
     /// all backend servers under [`Policy::Baseline`].
-
     pub(super) fn poll_loads(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         if self.next_poll.is_some_and(|at| now < at) {
             return;
--- a/crates/jaypin_core/tests/quarantine.rs
+++ b/crates/jaypin_core/tests/quarantine.rs
@@ -2,19 +2,19 @@
 
 use std::time::{Duration, Instant};
 
-use jaypin_core::{BackendId, Lost, Quarantine};
+use jaypin_core::{BackendId, LostCall, Quarantine};
 
 const HOLD: Duration = Duration::from_mins(10);
 const LIMIT: u32 = 2;
 
-fn lost(fingerprint: u64) -> Lost {
-    Lost {
+fn lost(fingerprint: u64) -> LostCall {
+    LostCall {
         fingerprint,
         had_first_token: false,
     }
 }
 
-fn die(quarantine: &mut Quarantine, now: Instant, together: &[Lost]) -> Instant {
+fn die(quarantine: &mut Quarantine, now: Instant, together: &[LostCall]) -> Instant {
     for lost in together {
         quarantine.record_lost_call(now, &BackendId::from("engine-0"), *lost);
     }
@@ -42,7 +42,7 @@
 #[test]
 fn who_had_a_token_is_not_suspected() {
     let mut quarantine = Quarantine::default();
-    let served = Lost {
+    let served = LostCall {
         had_first_token: true,
         ..lost(2)
     };
--- a/crates/jaypin_router/src/router/attempt.rs
+++ b/crates/jaypin_router/src/router/attempt.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use jaypin_core::{Lost, Ran, Reason, Refusal};
+use jaypin_core::{LostCall, Ran, Reason, Refusal};
 
 use super::arrival::refuse;
 use super::{Effect, Router};
@@ -132,7 +132,7 @@
         fx: &mut Vec<Effect>,
     ) {
         if outcome == AttemptOutcome::Died {
-            let lost = Lost {
+            let lost = LostCall {
                 fingerprint: request.admitted.fingerprint,
                 had_first_token: request.state.first_event_at.is_some(),
             };
--- a/crates/jaypin_wire/src/link.rs
+++ b/crates/jaypin_wire/src/link.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use jaypin_core::{Allowance, Digest, HostId, InFlight, Lost, Member, Message};
+use jaypin_core::{Allowance, Digest, HostId, InFlight, LostCall, Member, Message};
 use serde::{Deserialize, Serialize};
 
 use crate::claims::{WireOutcome, WireSubject, WireVerdict};
@@ -224,7 +224,7 @@
             },
             WireMessage::Died(backend, fingerprint, had_token) => Self::BackendCrashed {
                 backend,
-                lost: Lost {
+                lost: LostCall {
                     fingerprint,
                     had_first_token: had_token,
                 },
