--- a/crates/jaypin_core/src/reducer/succession.rs
+++ b/crates/jaypin_core/src/reducer/succession.rs
@@ -220,7 +220,7 @@
         for shard in &changed {
             self.report_in_flight(shard, fx);
         }
-        self.request_slots_again(now, &changed, &before, fx);
+        self.request_slots_from_new_leaders(now, &changed, &before, fx);
     }
 
     fn current_terms(&self) -> BTreeMap<Shard, Term> {
@@ -254,7 +254,7 @@
 
     /// Requests slots again for the waiting requests of shards whose term changed or that have
     /// no leader any more.
-    fn request_slots_again(
+    fn request_slots_from_new_leaders(
         &mut self,
         now: Instant,
         changed: &BTreeSet<Shard>,
