--- a/crates/jaypin_core/src/reducer/arrival.rs
+++ b/crates/jaypin_core/src/reducer/arrival.rs
@@ -1,4 +1,5 @@
-//! A request arrives: it is refused, dispatched by its owner alone, or asks for a slot.
+//! Arrival of a request at its owner: the request is refused, dispatched without a grant, or
+//! waits for a slot that the owner requests from a shard scheduler.
 
 use std::time::{Duration, Instant};
 
@@ -12,41 +13,44 @@
     Ask, Effect, HostId, Message, Policy, Ran, Reason, Refusal, RequestId, RequestInfo, Shard, Step,
 };
 
-/// Longer wait than elsewhere, at least, for which a shard that may hold the prefix is
-/// still the better one.
-const WORTH_OF_AFFINITY: Duration = Duration::from_millis(100);
-/// The same as a part of the time to the first token: at full load every shard has
-/// deferrable work waiting, and it would go to and fro.
-const AFFINITY_PART: u32 = 8;
-/// Shards of a service that are weighed for a request.
-const SHARDS_WEIGHED: usize = 8;
-/// Shards that may refuse a request for want of capacity before that is final.
-const MOST_REFUSALS: usize = 2;
+/// Minimum extra wait that is accepted in a shard that may have the request's prefix
+/// cached.
+const MIN_AFFINITY_WAIT: Duration = Duration::from_millis(100);
+/// The accepted extra wait is at least the time limit for the first token divided by this.
+/// At full load every shard has deferrable requests waiting, and a fixed limit would move
+/// such requests back and forth between shards.
+const AFFINITY_WAIT_DIVISOR: u32 = 8;
+/// Maximum number of shards of a service that are considered for a request.
+const MAX_CANDIDATE_SHARDS: usize = 8;
+/// Maximum number of shards that refuse a request for lack of capacity before the refusal is
+/// final.
+const MAX_CAPACITY_REFUSALS: usize = 2;
 
 impl Reducer {
-    pub(super) fn arrived(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
+    /// Handles a new request: refuses it, claims its key, or requests a slot for it.
+    pub(super) fn handle_arrival(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
         self.record_arrival(&info, fx);
         match self.not_serving() {
             Some(reason) if reason == Reason::NotReady || !self.may_claim(now) => {
-                let refusal = unasked_refusal(&info, reason).retry_after(DEFAULT_RETRY_AFTER);
+                let refusal = unclaimed_refusal(&info, reason).retry_after(DEFAULT_RETRY_AFTER);
                 return self.refuse(&info, Duration::ZERO, refusal, fx);
             }
             Some(reason) if info.repeat != Repeat::Never => {
                 let refusal = Refusal::not_run(reason).retry_after(DEFAULT_RETRY_AFTER);
                 return self.refuse(&info, Duration::ZERO, refusal, fx);
             }
-            // A call with a key is refused once the key's owner said that no earlier try
-            // of it ran: see `claim_answered`.
+            // A call with an idempotency key is refused only after the key's owner confirmed
+            // that no earlier attempt ran; see `handle_claim_verdict`.
             Some(_) | None => {}
         }
-        if !self.must_claim(now, &info, fx) {
-            self.place(now, info, fx);
+        if !self.start_claim(now, &info, fx) {
+            self.schedule(now, info, fx);
         }
     }
 
-    /// Why this host takes no new work, if it takes none.
+    /// Returns why this host accepts no new work, or `None` if it does.
     pub(super) fn not_serving(&self) -> Option<Reason> {
-        if self.rules_version == 0 || !self.membership.is_known() || !self.gossip.caught_up {
+        if self.rules_version == 0 || !self.membership.has_host_list() || !self.gossip.caught_up {
             Some(Reason::NotReady)
         } else if self.draining {
             Some(Reason::Draining)
@@ -55,22 +59,25 @@
         }
     }
 
-    /// Finds a slot for a request that may run, unless it is quarantined. A call that may
-    /// not be repeated holds its claim by now, so "not run" is true of its key too.
-    pub(super) fn place(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
-        if let Some(refusal) = self.quarantined(now, &info) {
+    /// Requests a slot for a request that may run, or refuses it if it is quarantined. A
+    /// call that may not be repeated already holds its claim here, so a refusal with "not
+    /// run" holds for its key too.
+    pub(super) fn schedule(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
+        if let Some(refusal) = self.quarantine_refusal(now, &info) {
             return self.refuse(&info, Duration::ZERO, refusal, fx);
         }
         match self.cfg.policy {
-            Policy::Grants | Policy::Local => self.ask_first(now, info, fx),
-            Policy::Baseline => self.choose_alone(now, info, fx),
+            Policy::Grants | Policy::Local => self.request_slot(now, info, fx),
+            Policy::Baseline => self.dispatch_without_grant(now, info, fx),
         }
     }
 
-    pub(super) fn choose_alone(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
+    /// Dispatches a request to a backend server that this host chooses by itself.
+
+    pub(super) fn dispatch_without_grant(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>,) {
         let backends = self.membership.list().backends.iter();
-        let of_service = backends.filter(|record| record.service == info.service);
-        let Some(record) = self.baseline.pick(of_service, &mut self.rng) else {
+        let candidates = backends.filter(|record| record.service == info.service);
+        let Some(record) = self.baseline.pick(candidates, &mut self.rng) else {
             let refusal = Refusal::not_run(Reason::NoBackend).retry_after(DEFAULT_RETRY_AFTER);
             return self.refuse(&info, Duration::ZERO, refusal, fx);
         };
@@ -82,7 +89,9 @@
         self.dispatch(now, request, Vec::new(), fx);
     }
 
-    pub(super) fn ask_first(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
+    /// Requests a slot for a request from the leader of a shard.
+
+    pub(super) fn request_slot(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
         let Some((shard, leader)) = self.choose_shard(now, &info, &[]) else {
             let refusal = Refusal::not_run(Reason::NoBackend).retry_after(DEFAULT_RETRY_AFTER);
             return self.refuse(&info, Duration::ZERO, refusal, fx);
@@ -105,8 +114,8 @@
         self.owner.waiting.insert(request.info.id.clone(), request);
     }
 
-    /// The shard where the request's prefix may be cached, left for another one when
-    /// the wait there outweighs the prefill that the cache saves.
+    /// Returns the shard where the request's prefix may be cached, with its leader. Returns
+    /// another shard when the wait there outweighs the prefill that the cache saves.
     pub(super) fn choose_shard(
         &mut self,
         now: Instant,
@@ -123,21 +132,22 @@
             .map(|shard| (score_index(key, shard.index), shard))
             .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
-        ranked.truncate(SHARDS_WEIGHED);
+        ranked.truncate(MAX_CANDIDATE_SHARDS);
         let wait = |shard: &Shard| self.shard_hints.wait(shard, info.tier, now);
         let mut shards = ranked.iter().map(|(_, shard)| *shard);
-        // All hosts walk the same order, so a prefix that outgrows one shard is held by
-        // few others.
-        let least = shards.clone().map(wait).min()?;
-        let worth = WORTH_OF_AFFINITY.max(info.first_token_due_in / AFFINITY_PART);
-        let shard = shards.find(|shard| wait(shard) <= least + worth)?;
+        // All hosts try the shards in the same order, so the requests of a prefix that
+        // exceed one shard's capacity go to a few other shards only.
+        let shortest = shards.clone().map(wait).min()?;
+        let accepted = MIN_AFFINITY_WAIT.max(info.first_token_due_in / AFFINITY_WAIT_DIVISOR);
+        let shard = shards.find(|shard| wait(shard) <= shortest + accepted)?;
         let leader = self.leader(shard)?.clone();
         Some((shard.clone(), leader))
     }
 
-    /// Asks another shard of the service once the first has no capacity: its lower
-    /// tiers may have what this request lacks. Says whether it asked.
-    pub(super) fn ask_elsewhere(
+    /// Requests a slot from another shard of the service after the first one refused for
+    /// lack of capacity. The other shard may serve lower tiers whose capacity this request can use.
+    /// Returns whether it requested one.
+    pub(super) fn request_slot_elsewhere(
         &mut self,
         now: Instant,
         id: &RequestId,
@@ -149,7 +159,7 @@
         };
         let refused_by = &mut request.state.refused_by;
         let for_capacity = matches!(refusal.reason, Reason::Shed | Reason::TooLate);
-        if !for_capacity || refused_by.len() + 1 >= MOST_REFUSALS {
+        if !for_capacity || refused_by.len() + 1 >= MAX_CAPACITY_REFUSALS {
             return false;
         }
         refused_by.push(request.state.shard.clone());
@@ -159,11 +169,14 @@
         if is_late || others.count() == 0 {
             return false;
         }
-        self.ask_again(now, id, fx);
+        self.request_slot_again(now, id, fx);
         true
     }
 
-    pub(super) fn ask_again(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
+    /// Withdraws a waiting request from its shard scheduler and requests a slot again, from
+    /// the same shard or another one. Refuses the request if no shard is left.
+
+    pub(super) fn request_slot_again(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>,) {
         let Some(mut request) = self.owner.waiting.remove(id) else {
             return;
         };
@@ -193,6 +206,8 @@
         self.owner.waiting.insert(id.clone(), request);
     }
 
+    /// Sends the slot request of a waiting request to the leader of its shard.
+
     pub(super) fn send_ask(
         &mut self,
         now: Instant,
@@ -224,15 +239,18 @@
     }
 }
 
-/// What a request's shard is chosen by; salted by account, as all fingerprints are.
+/// Returns the fingerprint that a request's shard is chosen by: that of its shortest prefix,
+/// salted by account like all fingerprints. None for a request without prefixes.
 fn affinity_key(info: &RequestInfo) -> Option<u64> {
     info.prefixes.first().copied()
 }
 
-/// Guards against a "not run" for a key that ran: a call that may not be repeated may be
-/// the second try of one that another host dispatched, and a host that does not
-/// ask the key's owner does not know.
-fn unasked_refusal(info: &RequestInfo, reason: Reason) -> Refusal {
+/// Returns the refusal of a request whose idempotency key was not claimed.
+///
+/// A call that may not be repeated may be the second attempt of a call that another host
+/// dispatched. Without asking the key's owner, the host can't know whether it ran, so the
+/// refusal must not state "not run".
+fn unclaimed_refusal(info: &RequestInfo, reason: Reason) -> Refusal {
     match info.repeat {
         Repeat::Never => Refusal::after_dispatch(reason, Ran::Unknown),
         Repeat::Idempotent => Refusal::not_run(reason),
--- a/crates/jaypin_core/src/reducer/calls.rs
+++ b/crates/jaypin_core/src/reducer/calls.rs
@@ -1,20 +1,23 @@
-//! Dispatched calls, from hand-over to outcome.
+//! Dispatched calls, from dispatch to outcome.
 
 use std::time::{Duration, Instant};
 
 use jaypin_rules::Repeat;
 
-use super::{DEFAULT_RETRY_AFTER, Reducer, elapsed, record, slot_message};
+use super::{DEFAULT_RETRY_AFTER, Reducer, elapsed, record, slot_progress_message};
 use crate::request::{Dispatched, Granted, Request, Waiting};
 use crate::{
     CallOutcome, CallProgress, Candidate, Effect, KeyOutcome, Message, Ran, Reason, Refusal,
     RequestId, SlotProgress, Step,
 };
 
-/// Pause before a request whose backend server refused the connection asks again.
-const REASK_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a request whose backend server refused the connection requests another
+/// slot.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Reducer {
+    /// Dispatches a request to the backend server of its slot. Refuses it and returns the slot
+    /// if the backend server is no longer listed or the content is quarantined.
     pub(super) fn dispatch(
         &mut self,
         now: Instant,
@@ -25,14 +28,14 @@
         let request = request.dispatch(now);
         let slot = &request.state.slot;
         let id = request.info.id.clone();
-        let Some(record_of) = self.membership.backend(&slot.backend) else {
-            // The list changed between grant and dispatch; nothing was sent.
+        let Some(backend_record) = self.membership.backend(&slot.backend) else {
+            // The host list changed between grant and dispatch; nothing was sent.
             self.return_slot(&request, fx);
             let refusal = Refusal::not_run(Reason::NoBackend).retry_after(DEFAULT_RETRY_AFTER);
             return self.refuse(&request.info, elapsed(&request, now), refusal, fx);
         };
-        if let Some(refusal) = self.quarantined(now, &request.info) {
-            // It became so while the request waited.
+        if let Some(refusal) = self.quarantine_refusal(now, &request.info) {
+            // The content was quarantined while the request waited.
             self.return_slot(&request, fx);
             return self.refuse(&request.info, elapsed(&request, now), refusal, fx);
         }
@@ -46,13 +49,13 @@
         fx.push(Effect::Dispatch {
             id: id.clone(),
             backend: slot.backend.clone(),
-            address: record_of.address.clone(),
+            address: backend_record.address.clone(),
             fence,
         });
         self.owner.dispatched.insert(id, request);
     }
 
-    pub(super) fn call(
+    pub(super) fn handle_call_progress(
         &mut self,
         now: Instant,
         id: &RequestId,
@@ -65,15 +68,21 @@
                     request.state.sent = true;
                 }
             }
-            CallProgress::FirstToken => self.first_token(now, id, fx),
-            CallProgress::NotSent => self.not_sent(now, id, fx),
+            CallProgress::FirstToken => self.record_first_token(now, id, fx),
+            CallProgress::NotSent => self.handle_not_sent(now, id, fx),
             CallProgress::Finished { tokens, outcome } => {
-                self.finished(now, id, tokens, outcome, fx);
+                self.handle_end(now, id, tokens, outcome, fx);
             }
         }
     }
 
-    pub(super) fn first_token(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
+    /// Records the first token of a call and reports it to the shard scheduler.
+    pub(super) fn record_first_token(
+        &mut self,
+        now: Instant,
+        id: &RequestId,
+        fx: &mut Vec<Effect>,
+    ) {
         let Some(request) = self.owner.dispatched.get_mut(id) else {
             return;
         };
@@ -86,24 +95,26 @@
             fx,
         );
         let progress = SlotProgress::FirstToken { after };
-        if let Some((leader, message)) = slot_message(request, progress) {
+        if let Some((leader, message)) = slot_progress_message(request, progress) {
             self.send(&leader, message, fx);
         }
     }
 
-    /// The connection was refused: no byte left, so the request was not run and may
-    /// ask for another slot.
-    pub(super) fn not_sent(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
+    /// Handles a refused connection. No byte was sent, so the request was not run and may
+    /// request another slot.
+    pub(super) fn handle_not_sent(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
         let Some(request) = self.owner.dispatched.remove(id) else {
             return;
         };
-        if let Some((leader, message)) = slot_message(&request, SlotProgress::NotReached) {
+        if let Some((leader, message)) = slot_progress_message(&request, SlotProgress::NotReached) {
             self.send(&leader, message, fx);
         }
-        // The pause keeps a request from turning in circles while its shard scheduler
-        // learns that the backend server is gone; the first token's deadline ends it.
-        let overdue_at = now + REASK_PAUSE;
-        let ask_at = overdue_at.checked_sub(self.cfg.ask_timeout).unwrap_or(now);
+        // The delay prevents a tight retry loop until the shard scheduler knows that the
+        // backend server is down. The retries end at the first token's deadline.
+        let overdue_at = now + RETRY_DELAY;
+        let ask_at = overdue_at
+            .checked_sub(self.cfg.slot_request_timeout)
+            .unwrap_or(now);
         match request.requeue(ask_at) {
             Ok(request) => {
                 record(
@@ -125,7 +136,9 @@
         }
     }
 
-    pub(super) fn finished(
+    /// Handles the end of a call: reports it to the shard scheduler, and refuses the request
+    /// if the call failed.
+    pub(super) fn handle_end(
         &mut self,
         now: Instant,
         id: &RequestId,
@@ -146,15 +159,16 @@
                 CallOutcome::ConnectionLost | CallOutcome::BackendCrashed
             ),
         };
-        if let Some((leader, message)) = slot_message(&request, progress) {
+        if let Some((leader, message)) = slot_progress_message(&request, progress) {
             self.send(&leader, message, fx);
         }
         if outcome == CallOutcome::BackendCrashed {
-            self.tell_death(&request, fx);
+            self.report_crash(&request, fx);
         }
         let refusal = match outcome {
             CallOutcome::Complete | CallOutcome::Cancelled => {
-                // An answer was settled when it came; without one nothing is known.
+                // If a response was received, the claim is settled already. Without one it
+                // is not known whether the call ran.
                 return self.settle(id, KeyOutcome::Unknown, fx);
             }
             CallOutcome::ConnectionLost | CallOutcome::BackendCrashed => {
@@ -165,18 +179,21 @@
         self.refuse(&request.info, elapsed(&request, now), refusal, fx);
     }
 
+    /// Returns an unused slot to its shard scheduler.
     pub(super) fn return_slot(&mut self, request: &Request<Dispatched>, fx: &mut Vec<Effect>) {
-        if let Some((leader, message)) = slot_message(request, SlotProgress::Returned) {
+        if let Some((leader, message)) = slot_progress_message(request, SlotProgress::Returned) {
             self.send(&leader, message, fx);
         }
     }
 
-    pub(super) fn caller_gone(&mut self, id: &RequestId, fx: &mut Vec<Effect>) {
+    /// Cancels the request of a caller that disconnected, unless it is a running call that
+    /// may not be repeated.
+    pub(super) fn handle_disconnect(&mut self, id: &RequestId, fx: &mut Vec<Effect>) {
         self.abandon_claim(id, fx);
         let running = self.owner.dispatched.get(id);
         if running.is_some_and(|request| request.info.repeat == Repeat::Never) {
-            // Cut short, its outcome would be unknown for good; ended, it is kept under
-            // the key for the caller that asks again.
+            // Cancelling the call would make its outcome unknown for good. It continues, and
+            // its outcome is stored under the key for a caller that retries.
             return;
         }
         if let Some(request) = self.owner.waiting.remove(id) {
--- a/crates/jaypin_core/src/reducer/keys.rs
+++ b/crates/jaypin_core/src/reducer/keys.rs
@@ -1,4 +1,5 @@
-//! Claims on idempotency keys: asked for by the request's owner, answered by the key's.
+//! Claims on idempotency keys, on both sides: the host that owns the request and requests
+//! the claim, and the host that owns the key and decides on it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,7 +7,7 @@
 use jaypin_rules::Repeat;
 
 use super::{DEFAULT_RETRY_AFTER, Reducer, record};
-use crate::claims::{HeldClaim, Unsettled};
+use crate::claims::{HeldClaim, UnsettledOutcome};
 use crate::request::{Claiming, Request};
 use crate::{
     ClaimSubject, ClaimVerdict, Effect, HostId, IdempotencyKey, KeyOutcome, Message, Ran, Reason,
@@ -15,18 +16,17 @@
 
 /// Time after which an unanswered claim is sent again.
 const CLAIM_RESEND: Duration = Duration::from_millis(300);
-/// Time after which the key's owner counts as unreachable.
+/// Time after which a key's owner that did not respond counts as unreachable.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which an unconfirmed outcome is sent again.
 const SETTLE_RESEND: Duration = Duration::from_millis(500);
-/// Time for which an unconfirmed outcome is kept; then the key stays unknown.
-const SETTLE_KEPT: Duration = Duration::from_secs(30);
+/// Time after which an unconfirmed outcome is dropped; the key then stays unknown.
+const SETTLE_EXPIRY: Duration = Duration::from_secs(30);
 
 impl Reducer {
-    // ------------------------------------------------------------------ request's owner
-
-    /// Claims the key of a call that may not be repeated; says whether it has to wait.
-    pub(super) fn must_claim(
+    /// Claims the key of a call that may not be repeated. Returns whether the request was
+    /// handled: it waits for the claim, or was refused because its key is malformed.
+    pub(super) fn start_claim(
         &mut self,
         now: Instant,
         info: &RequestInfo,
@@ -40,7 +40,7 @@
             .as_deref()
             .and_then(|text| Some((Arc::from(text), IdempotencyKey::parse(text)?)))
         else {
-            // The frontend turns such calls away; without a key none may run.
+            // The frontend rejects such calls already; without a key they must not run.
             self.refuse(
                 info,
                 Duration::ZERO,
@@ -82,7 +82,9 @@
         self.send(&owner, message, fx);
     }
 
-    pub(super) fn claim_answered(
+    /// Handles the decision of a key's owner on a claim: requests a slot for the request,
+    /// replays the stored response, or refuses the request.
+    pub(super) fn handle_claim_verdict(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -92,8 +94,8 @@
         fx: &mut Vec<Effect>,
     ) {
         let Some(request) = self.claims.claiming.remove(id) else {
-            // A late or repeated answer. A grant to a request that is over would hold
-            // the key for good, so its owner hears that nobody waits for it.
+            // This response is late or repeated. A claim granted to a request that has
+            // ended would be held until the key expires, so its owner is informed.
             if verdict == ClaimVerdict::Granted {
                 self.check_claim(from, id, key, fx);
             }
@@ -106,16 +108,16 @@
         record(&request.info, after, step, fx);
         let refusal = match verdict {
             ClaimVerdict::Granted if self.not_serving().is_some() => {
-                // Now it is known that no earlier try of this key ran.
+                // The granted claim shows that no earlier attempt with this key ran.
                 let claim = request.state.claim;
-                self.tell_outcome(id, claim, KeyOutcome::NotRun, fx);
+                self.send_outcome(id, claim, KeyOutcome::NotRun, fx);
                 Refusal::not_run(Reason::Draining).retry_after(DEFAULT_RETRY_AFTER)
             }
             ClaimVerdict::Granted => {
                 let (mut info, claim) = (request.info, request.state.claim);
                 self.claims.held.insert(id.clone(), claim);
                 info.subtract_elapsed(after);
-                return self.place(now, info, fx);
+                return self.schedule(now, info, fx);
             }
             ClaimVerdict::Done(Some(answer)) => {
                 return fx.push(Effect::Replay {
@@ -135,23 +137,26 @@
         self.refuse(&request.info, after, refusal, fx);
     }
 
-    /// Ends a held claim; does nothing for a request without one.
+    /// Ends the claim that a request holds, with the outcome of its call. Does nothing for
+    /// a request that holds none.
     pub(super) fn settle(&mut self, id: &RequestId, outcome: KeyOutcome, fx: &mut Vec<Effect>) {
         let Some(claim) = self.claims.held.remove(id) else {
             return;
         };
-        self.tell_outcome(id, claim, outcome, fx);
+        self.send_outcome(id, claim, outcome, fx);
     }
 
-    /// The caller left while the claim was asked for: nothing left, nothing will.
+    /// Abandons the claim of a request whose caller disconnected before the claim was
+    /// decided on. The request was not sent and will not be.
     pub(super) fn abandon_claim(&mut self, id: &RequestId, fx: &mut Vec<Effect>) {
         if let Some(request) = self.claims.claiming.remove(id) {
-            self.tell_outcome(id, request.state.claim, KeyOutcome::NotRun, fx);
+            self.send_outcome(id, request.state.claim, KeyOutcome::NotRun, fx);
         }
     }
 
-    /// Kept until the key's owner confirms, because a link may lose it.
-    fn tell_outcome(
+    /// Sends an outcome to the key's owner and keeps it until the owner confirms it, because
+    /// the message may be lost with a link.
+    fn send_outcome(
         &mut self,
         id: &RequestId,
         claim: HeldClaim,
@@ -164,7 +169,7 @@
             outcome: outcome.clone(),
         };
         self.send(&claim.owner, message, fx);
-        let unsettled = Unsettled {
+        let unsettled = UnsettledOutcome {
             claim,
             outcome,
             since: None,
@@ -173,7 +178,8 @@
         self.claims.unsettled.insert(id.clone(), unsettled);
     }
 
-    /// Answers the key's owner, who asks whether a request still holds its claim.
+    /// Responds to a key's owner that checks whether a request still holds its claim. Sends
+    /// the outcome if it does not.
     pub(super) fn check_claim(
         &mut self,
         from: &HostId,
@@ -190,22 +196,23 @@
         self.send(from, Message::Settle { key, id, outcome }, fx);
     }
 
+    /// Removes expired keys, and resends claims and outcomes that were not answered.
     pub(super) fn claims_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.keys.expire(now);
-        self.claims_overdue(now, fx);
-        self.outcomes_overdue(now, fx);
+        self.handle_overdue_claims(now, fx);
+        self.resend_outcomes(now, fx);
     }
 
-    fn claims_overdue(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    fn handle_overdue_claims(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let claiming = std::mem::take(&mut self.claims.claiming);
         for (id, mut request) in claiming {
             let after = now.duration_since(request.arrived_at);
             if after >= CLAIM_TIMEOUT {
-                // Guards against a key owner that is gone or paused: the key may have
-                // run before, so it isn't run now. Should the owner wake up and grant
-                // the claim late, the word that follows gives it back.
+                // The key's owner has exited or is paused. The call may have run before, so
+                // it is not run now. If the owner resumes and grants the claim late, the
+                // outcome that is sent here releases the claim.
                 let refusal = Refusal::after_dispatch(Reason::KeyUnknown, Ran::Unknown);
-                self.tell_outcome(&id, request.state.claim, KeyOutcome::NotRun, fx);
+                self.send_outcome(&id, request.state.claim, KeyOutcome::NotRun, fx);
                 self.refuse(&request.info, after, refusal, fx);
                 continue;
             }
@@ -217,7 +224,7 @@
         }
     }
 
-    fn outcomes_overdue(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    fn resend_outcomes(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let mut again = Vec::new();
         self.claims.unsettled.retain(|id, kept| {
             let since = *kept.since.get_or_insert(now);
@@ -231,14 +238,13 @@
                 };
                 again.push((kept.claim.owner.clone(), message));
             }
-            now.duration_since(since) < SETTLE_KEPT
+            now.duration_since(since) < SETTLE_EXPIRY
         });
         self.send_all(again, fx);
     }
 
-    // ------------------------------------------------------------------ key's owner
-
-    pub(super) fn claim_asked(
+    /// Decides on a claim for a key of this host and sends the decision.
+    pub(super) fn answer_claim(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -251,11 +257,12 @@
             Some(key) => {
                 let verdict = self.keys.claim(now, &key, subject, from, &id);
                 if verdict == ClaimVerdict::InFlight {
-                    self.ask_holder(&text, &key, fx);
+                    self.check_holder(&text, &key, fx);
                 }
                 verdict
             }
-            // Another run of this host issued it; what it granted is not known here.
+            // Another incarnation of this host issued the key, and its claims are not known
+            // to this one.
             None => ClaimVerdict::Unknown,
         };
         let answer = Message::Claimed {
@@ -266,9 +273,11 @@
         self.send(from, answer, fx);
     }
 
-    /// Guards against a holder that died unnoticed: its silence would keep the key in
-    /// flight. Asking either gets its word or shows that the link is lost.
-    fn ask_holder(&mut self, text: &Arc<str>, key: &IdempotencyKey, fx: &mut Vec<Effect>) {
+    /// Checks with the holder of a claim whether its request still holds it.
+    ///
+    /// The holder may have exited unnoticed, which would keep the key in flight. Its host
+    /// either responds with the outcome, or the failed send shows that the link is lost.
+    fn check_holder(&mut self, text: &Arc<str>, key: &IdempotencyKey, fx: &mut Vec<Effect>) {
         let holder = self.keys.holder(key);
         if let Some((host, id)) = holder.map(|(host, id)| (host.clone(), id.clone())) {
             let key = text.clone();
@@ -276,7 +285,8 @@
         }
     }
 
-    pub(super) fn settled(
+    /// Records the outcome that a holder reports for a key of this host, and confirms it.
+    pub(super) fn record_outcome(
         &mut self,
         from: &HostId,
         text: &str,
@@ -290,6 +300,7 @@
         self.send(from, Message::Settled { id }, fx);
     }
 
+    /// Parses a key; returns it only if this process issued it.
     fn own_key(&self, text: &str) -> Option<IdempotencyKey> {
         let key = IdempotencyKey::parse(text)?;
         let own = key.host == self.cfg.host && key.incarnation == self.cfg.incarnation;
--- a/crates/jaypin_core/src/reducer/knowledge.rs
+++ b/crates/jaypin_core/src/reducer/knowledge.rs
@@ -1,4 +1,4 @@
-//! What the reducer learns: rules, host list, peers, load reports.
+//! Updates from outside: rules, host list, membership and load reports.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,9 +12,10 @@
 use crate::{BackendRecord, Effect, HostId, HostList, LoadReport, Policy, Shard};
 
 impl Reducer {
-    pub(super) fn rules(&mut self, version: u64, rules: Arc<RuleSet>) {
-        // Stale platform copies and late peers offer old versions; the greater one stays,
-        // so an accepted rule file never reverts.
+    /// Applies a version of the rules if it is newer.
+    pub(super) fn apply_rules(&mut self, version: u64, rules: Arc<RuleSet>) {
+        // Outdated copies of the platform and delayed messages of peers carry old versions.
+        // Only a greater version is applied, so an accepted rule file is never reverted.
         if version > self.rules_version {
             self.rules_version = version;
             self.rule_index = Arc::new(RuleIndex::new(rules.clone()));
@@ -26,21 +27,33 @@
         }
     }
 
-    pub(super) fn hosts(&mut self, now: Instant, list: HostList, fx: &mut Vec<Effect>) {
-        // Lagging platform copies and late peers: the greater version stays.
+    /// Applies a host list if it is newer.
+    pub(super) fn apply_host_list(&mut self, now: Instant, list: HostList, fx: &mut Vec<Effect>) {
+        // Outdated copies of the platform and delayed messages of peers carry old versions;
+        // only a greater version is applied.
         if self.membership.update(list, &self.cfg) {
             self.gossip.versions_changed = true;
-            self.view_changed(now, fx);
+            self.handle_membership_change(now, fx);
         }
     }
 
-    pub(super) fn load(&mut self, now: Instant, report: &LoadReport, fx: &mut Vec<Effect>) {
+    /// Applies a backend server's load report to the baseline policy, to the membership, and
+    /// to the scheduler of its shard.
+    pub(super) fn apply_load_report(
+        &mut self,
+        now: Instant,
+        report: &LoadReport,
+        fx: &mut Vec<Effect>,
+    ) {
         self.baseline.apply_load_report(report);
-        if self.membership.report(&report.backend, report.leaving) {
-            self.view_changed(now, fx);
+        if self
+            .membership
+            .set_reported_leaving(&report.backend, report.leaving)
+        {
+            self.handle_membership_change(now, fx);
         }
-        // A fixed share says nothing of what the other hosts run, so reports are no
-        // correction there.
+        // With fixed shares, a reported load includes the requests that other hosts run on
+        // their shares, so the report can't correct this host's count.
         if self.cfg.policy == Policy::Local {
             return;
         }
@@ -48,12 +61,12 @@
         if let Some(scheduler) = shard.and_then(|shard| self.schedulers.get_mut(shard)) {
             scheduler.apply_load_report(report, now);
         }
-        self.backend_reported(now, &report.backend, fx);
+        self.record_backend_report(now, &report.backend, fx);
     }
 
-    /// Takes up and lays down shards, chooses partners, and tells new leaders what runs
-    /// here.
-    pub(super) fn view_changed(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    /// Handles a change of the host list or the membership table: chooses partners, starts
+    /// and stops schedulers, and reports running requests to new leaders.
+    pub(super) fn handle_membership_change(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.choose_links(fx);
         let led: BTreeSet<Shard> = self
             .membership
@@ -65,20 +78,20 @@
             .collect();
         self.schedulers.retain(|shard, _| led.contains(shard));
         for shard in led {
-            let is_new = self.lead(now, &shard);
-            let records = self.records_for(&shard);
+            let is_new = self.start_scheduler(now, &shard);
+            let records = self.grantable_backends(&shard);
             if let Some(scheduler) = self.schedulers.get_mut(&shard) {
                 scheduler.set_backends(records.iter(), now);
             }
             if is_new {
-                self.take_early_reports(now, &shard, fx);
+                self.apply_early_reports(now, &shard, fx);
             }
         }
-        self.follow_leaders(now, fx);
+        self.handle_new_terms(now, fx);
     }
 
-    /// The backend servers of a shard, with the slots that this host may grant.
-    fn records_for(&self, shard: &Shard) -> Vec<BackendRecord> {
+    /// Returns the backend servers of a shard, with the slots that this host may grant.
+    fn grantable_backends(&self, shard: &Shard) -> Vec<BackendRecord> {
         let records = self.membership.backends_of(shard);
         if self.cfg.policy != Policy::Local {
             return records;
--- a/crates/jaypin_core/src/reducer/messages.rs
+++ b/crates/jaypin_core/src/reducer/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between owners and shard schedulers.
+//! Dispatch of received messages, and the messages between owners and shard schedulers.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,8 @@
 };
 
 impl Reducer {
-    pub(super) fn message(
+    /// Handles a message of a peer, or of this host to itself.
+    pub(super) fn handle_message(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -17,24 +18,24 @@
         fx: &mut Vec<Effect>,
     ) {
         match message {
-            Message::Ask(ask) => self.asked(now, from, ask, fx),
+            Message::Ask(ask) => self.handle_ask(now, from, ask, fx),
             Message::Queued {
                 id,
                 attempt,
                 expected_wait,
-            } => self.queued(now, &id, attempt, expected_wait),
-            Message::Grant(grant) => self.granted(now, from, grant, fx),
+            } => self.mark_queued(now, &id, attempt, expected_wait),
+            Message::Grant(grant) => self.handle_grant(now, from, grant, fx),
             Message::Refused {
                 id,
                 attempt,
                 refusal,
                 expected_wait,
             } => {
-                self.note_wait(now, &id, attempt, expected_wait);
-                self.refused(now, &id, attempt, refusal, fx);
+                self.record_wait(now, &id, attempt, expected_wait);
+                self.handle_refusal(now, &id, attempt, refusal, fx);
             }
             Message::Confirm { shard, id, number } => {
-                self.confirm(from, shard, id, number, fx);
+                self.confirm_grant(from, shard, id, number, fx);
             }
             Message::Usage {
                 shard,
@@ -61,7 +62,7 @@
                     scheduler.set_allowance(&account, allowance);
                 }
             }
-            Message::NotLeader { id, attempt } => self.not_leader(&id, attempt),
+            Message::NotLeader { id, attempt } => self.handle_not_leader(&id, attempt),
             Message::Withdraw { shard, id } => {
                 if let Some(scheduler) = self.schedulers.get_mut(&shard) {
                     scheduler.withdraw(&id);
@@ -80,33 +81,35 @@
                 self.send_all(out, fx);
             }
             Message::InFlight { shard, running } => {
-                self.owner_reported(now, from, &shard, running, fx);
+                self.record_owner_report(now, from, &shard, running, fx);
             }
-            Message::Digest(digest) => self.digest(now, from, digest, fx),
-            Message::Fetch { rules, hosts } => self.fetch(from, rules, hosts, fx),
-            Message::RuleText { version, text } => self.rules_offered(version, text, fx),
-            Message::Hosts(list) => self.hosts(now, list, fx),
-            Message::Buckets(hashes) => self.buckets(from, &hashes, fx),
+            Message::Digest(digest) => self.handle_digest(now, from, digest, fx),
+            Message::Fetch { rules, hosts } => self.handle_fetch(from, rules, hosts, fx),
+            Message::RuleText { version, text } => self.parse_newer_rules(version, text, fx),
+            Message::Hosts(list) => self.apply_host_list(now, list, fx),
+            Message::Buckets(hashes) => self.handle_buckets(from, &hashes, fx),
             Message::Members {
                 entries,
                 complete_buckets,
             } => {
-                self.members(now, from, entries, &complete_buckets, fx);
+                self.handle_members(now, from, entries, &complete_buckets, fx);
             }
             Message::BackendCrashed { backend, lost } => {
                 self.quarantine.record_lost_call(now, &backend, lost);
             }
             Message::CrashCount {
                 fingerprint,
-                crash_count: strikes,
-            } => self.strike_heard(now, fingerprint, strikes, fx),
+                crash_count,
+            } => self.apply_crash_count(now, fingerprint, crash_count, fx),
             Message::Claim { key, id, subject } => {
-                self.claim_asked(now, from, key, id, &subject, fx);
+                self.answer_claim(now, from, key, id, &subject, fx);
             }
             Message::Claimed { key, id, verdict } => {
-                self.claim_answered(now, from, &id, &key, verdict, fx);
+                self.handle_claim_verdict(now, from, &id, &key, verdict, fx);
+            }
+            Message::Settle { key, id, outcome } => {
+                self.record_outcome(from, &key, id, outcome, fx);
             }
-            Message::Settle { key, id, outcome } => self.settled(from, &key, id, outcome, fx),
             Message::Settled { id } => {
                 self.claims.unsettled.remove(&id);
             }
@@ -114,7 +117,14 @@
         }
     }
 
-    pub(super) fn asked(&mut self, now: Instant, from: &HostId, ask: Ask, fx: &mut Vec<Effect>) {
+    /// Passes a slot request to the scheduler of its shard.
+    pub(super) fn handle_ask(
+        &mut self,
+        now: Instant,
+        from: &HostId,
+        ask: Ask,
+        fx: &mut Vec<Effect>,
+    ) {
         let mut out = Vec::new();
         if let Some(scheduler) = self.schedulers.get_mut(&ask.shard) {
             scheduler.submit(from, ask, now, &mut out);
@@ -128,8 +138,8 @@
         self.send_all(out, fx);
     }
 
-    /// Remembers how long requests of a tier wait in the shard that was asked.
-    fn note_wait(&mut self, now: Instant, id: &RequestId, attempt: u32, wait: Duration) {
+    /// Records how long requests of a tier wait in the shard that was asked.
+    fn record_wait(&mut self, now: Instant, id: &RequestId, attempt: u32, wait: Duration) {
         if let Some(request) = self.owner.waiting.get(id)
             && request.state.attempt == attempt
         {
@@ -139,9 +149,9 @@
         }
     }
 
-    /// Answers for a grant that this host does not hold: lost on its way, or ended
-    /// while the link was down.
-    fn confirm(
+    /// Returns a slot whose grant this host does not hold, because the grant was lost in
+    /// transit or its call ended while the link was down.
+    fn confirm_grant(
         &mut self,
         from: &HostId,
         shard: Shard,
@@ -154,24 +164,24 @@
             grant.is_some_and(|(_, _, held)| *held == number)
         });
         if !held {
-            let back = Message::Progress {
+            let returned = Message::Progress {
                 shard,
                 id,
                 number,
                 progress: SlotProgress::Returned,
             };
-            self.send(from, back, fx);
+            self.send(from, returned, fx);
         }
     }
 
-    pub(super) fn queued(
+    pub(super) fn mark_queued(
         &mut self,
         now: Instant,
         id: &RequestId,
         attempt: u32,
         expected_wait: Duration,
     ) {
-        self.note_wait(now, id, attempt, expected_wait);
+        self.record_wait(now, id, attempt, expected_wait);
         if let Some(request) = self.owner.waiting.get_mut(id)
             && request.state.attempt == attempt
         {
@@ -179,8 +189,10 @@
         }
     }
 
-    /// The views differ for a moment; the ask timeout asks again by the newer view.
-    pub(super) fn not_leader(&mut self, id: &RequestId, attempt: u32) {
+    /// Handles the response of a host that does not lead the shard. The membership tables
+    /// of both hosts differ for a moment; after `slot_request_timeout`, the slot is
+    /// requested from the leader that is known then.
+    pub(super) fn handle_not_leader(&mut self, id: &RequestId, attempt: u32) {
         if let Some(request) = self.owner.waiting.get_mut(id)
             && request.state.attempt == attempt
         {
@@ -188,7 +200,8 @@
         }
     }
 
-    pub(super) fn granted(
+    /// Dispatches the request that was granted a slot.
+    pub(super) fn handle_grant(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -204,14 +217,15 @@
             .then(|| self.owner.waiting.remove(&grant.id))
             .flatten()
         else {
-            // The caller left or the request asked elsewhere meanwhile: the slot goes back.
-            let back = Message::Progress {
+            // The caller disconnected, or the request asked another shard meanwhile, so the
+            // slot is returned.
+            let returned = Message::Progress {
                 shard: grant.shard,
                 id: grant.id,
                 number: grant.number,
                 progress: SlotProgress::Returned,
             };
-            return self.send(from, back, fx);
+            return self.send(from, returned, fx);
         };
         self.shard_hints
             .record_wait(&grant.shard, request.info.tier, grant.expected_wait, now);
@@ -222,7 +236,8 @@
         self.dispatch(now, request.grant(slot), grant.candidates, fx);
     }
 
-    pub(super) fn refused(
+    /// Refuses a request after its shard scheduler did, unless another shard is asked.
+    pub(super) fn handle_refusal(
         &mut self,
         now: Instant,
         id: &RequestId,
@@ -235,7 +250,7 @@
             .waiting
             .get(id)
             .is_some_and(|request| request.state.attempt == attempt);
-        if !wanted || self.ask_elsewhere(now, id, &refusal, fx) {
+        if !wanted || self.request_slot_elsewhere(now, id, &refusal, fx) {
             return;
         }
         if let Some(request) = self.owner.waiting.remove(id) {
--- a/crates/jaypin_core/src/reducer/mod.rs
+++ b/crates/jaypin_core/src/reducer/mod.rs
@@ -1,4 +1,4 @@
-//! The one reducer over all events of a host.
+//! The reducer: applies each event of a host to its decision state and returns effects.
 
 mod arrival;
 mod calls;
@@ -37,42 +37,53 @@
     SuspectCounts,
 };
 
-/// Time after which a refused caller may come back, where nothing better is known.
+/// Time after which a refused caller may retry, where no better estimate exists.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a leaving host waits for a key's owner to confirm an outcome.
+/// How long a draining host waits for a key's owner to confirm an outcome.
 ///
-/// Guards against a host that never leaves while the owner of a key is frozen. Without
-/// the confirmation the key becomes `unknown` once this host is gone: never a second run.
-const DRAIN_PATIENCE: Duration = Duration::from_secs(3);
-/// How long a leaving host still asks the owners of keys, for callers who have not heard
-/// that it leaves. Later ones are told `unknown` at once, or their claims would keep it.
-const DRAIN_CLAIMS: Duration = Duration::from_secs(5);
+/// Without this limit, a host could never exit while the owner of a key is frozen. A key
+/// whose outcome was not confirmed becomes `unknown` once this host has exited, so its
+/// call is never run a second time.
+const DRAIN_SETTLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a draining host still claims keys, for callers who do not know yet that it is
+/// shutting down. Later calls are refused at once with `unknown`, since further claims
+/// would keep the host from exiting.
+const DRAIN_CLAIM_WINDOW: Duration = Duration::from_secs(5);
 
 /// The decision state of one host.
 #[derive(Debug)]
 pub struct Reducer {
     cfg: Config,
     rng: ChaCha8Rng,
+    /// Version of `rules`; 0 before the first rules were applied.
     rules_version: u64,
     rules: Arc<RuleSet>,
     rule_index: Arc<RuleIndex>,
     shard_hints: ShardHints,
     limit_keeper: LimitKeeper,
+    /// Time of the next usage report; none before the first.
     next_usage: Option<Instant>,
     membership: Membership,
     owner: OwnedRequests,
+    /// Schedulers of the shards that this host leads.
     schedulers: BTreeMap<Shard, Scheduler>,
     baseline: Baseline,
     keys: KeyTable,
+    /// Time of the first event.
     started: Option<Instant>,
     claims: Claims,
     quarantine: Quarantine,
+    /// Time of the next load polls; none when they are due at once.
     next_poll: Option<Instant>,
     draining: bool,
+    /// Whether [`Effect::Exit`] was returned.
     exited: bool,
+    /// Messages of this host to itself, handled within the same call of [`Self::apply`].
     inbox: VecDeque<Message>,
     gossip: Gossip,
+    /// Leadership terms at the last check; their leaders were sent the running requests of
+    /// this host.
     terms: BTreeMap<Shard, Term>,
     rebuilds: Rebuilds,
     last_event: Option<Instant>,
@@ -81,32 +92,32 @@
 /// Counts for status pages and metrics.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Version of the rules in force; 0 before any are.
+    /// Version of the rules that are confirmed to be current; 0 before that.
     pub rules_version: u64,
-    /// Version of the host list in use; 0 before one was read.
+    /// Version of the host list; 0 before the first one was read.
     pub hosts_version: u64,
-    /// Shards that this host leads.
+    /// Number of shards that this host leads.
     pub shards_led: usize,
-    /// Requests of this host that wait.
+    /// Number of this host's requests that wait for a slot.
     pub waiting: usize,
-    /// Requests of this host that run.
+    /// Number of this host's requests that run.
     pub running: usize,
-    /// Requests that wait in the shards that this host leads.
+    /// Number of requests of all hosts that wait in the shards that this host leads.
     pub queued_here: usize,
-    /// Requests that run on slots granted by the shards that this host leads.
+    /// Number of requests of all hosts that run on slots of the shards that this host leads.
     pub granted_here: usize,
-    /// Key period of this run, for the prefix of idempotency keys.
+    /// Current key period of this process, for the prefix of idempotency keys.
     pub key_period: u64,
     /// Whether the host is shutting down.
     pub draining: bool,
-    /// Whether the host heard that it has the versions in force.
+    /// Whether the host's versions of rules and host list were confirmed to be current.
     pub caught_up: bool,
-    /// Hash of the table of hosts; equal tables have equal ones.
+    /// Hash of the membership table; equal tables have equal hashes.
     pub members: u64,
 }
 
 impl Reducer {
-    /// Starts with nothing known.
+    /// Creates a reducer without rules and host list.
     #[must_use]
     pub fn new(mut cfg: Config) -> Self {
         if cfg.policy == Policy::Local {
@@ -138,31 +149,31 @@
             last_event: None,
             cfg,
         };
-        reducer.own_status(MemberStatus::Alive);
+        reducer.set_own_status(MemberStatus::Alive);
         reducer
     }
 
-    /// Takes one event and says what is to be done.
+    /// Applies one event and returns the effects to perform.
     ///
-    /// Same events, same seed, same effects.
+    /// The same events with the same seed give the same effects.
     pub fn apply(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         let mut fx = Vec::new();
         self.started.get_or_insert(now);
-        self.notice_pause(now, &mut fx);
-        self.take(now, event, &mut fx);
+        self.detect_pause(now, &mut fx);
+        self.handle_event(now, event, &mut fx);
         while let Some(message) = self.inbox.pop_front() {
             let from = self.cfg.host.clone();
-            self.take(now, Event::Link { from, message }, &mut fx);
+            self.handle_event(now, Event::Link { from, message }, &mut fx);
         }
-        self.spread_news(&mut fx);
+        self.publish_changes(&mut fx);
         fx
     }
 
-    /// Counts for status pages and metrics.
+    /// Returns counts for status pages and metrics.
     #[must_use]
     pub fn summary(&self) -> Summary {
         Summary {
-            rules_version: self.version_in_force(),
+            rules_version: self.confirmed_rules_version(),
             hosts_version: self.membership.list().version,
             shards_led: self.schedulers.len(),
             waiting: self.owner.waiting.len(),
@@ -176,31 +187,35 @@
         }
     }
 
-    /// The shards that this host leads, for operators; dearer than the counts.
+    /// Returns reports on the shards that this host leads, for operators. This is more
+    /// expensive than [`Self::summary`].
     #[must_use]
     pub fn shard_reports(&self, now: Instant) -> Vec<ShardReport> {
         let schedulers = self.schedulers.values();
-        schedulers.map(|it| it.shard_report(now)).collect()
+        schedulers
+            .map(|scheduler| scheduler.shard_report(now))
+            .collect()
     }
 
-    /// Contents under suspicion, for operators.
+    /// Returns how many request contents are suspected or quarantined, for operators.
     #[must_use]
     pub fn suspect_counts(&self) -> SuspectCounts {
         self.quarantine.counts(self.rules.quarantine.crash_limit)
     }
 
-    /// The rules that [`Summary::rules_version`] names, or those read last while none are
-    /// in force.
+    /// Returns the newest rules, also before they are confirmed to be current. Their version
+    /// is [`Summary::rules_version`] unless that is 0.
     #[must_use]
     pub fn loaded_rules(&self) -> &Arc<RuleSet> {
         &self.rules
     }
 
-    /// Version of the rules that this host goes by; 0 until a peer had no greater one.
+    /// Returns the version of the rules, or 0 until it is confirmed that peers have no
+    /// newer one.
     ///
-    /// Guards against a host that starts while the platform answers an old copy: it would
-    /// show, and check callers by, a version that the fleet has left behind.
-    fn version_in_force(&self) -> u64 {
+    /// A host that starts while the platform returns an outdated copy would otherwise
+    /// publish, and check callers by, a version that the rest of the fleet has replaced.
+    fn confirmed_rules_version(&self) -> u64 {
         if self.gossip.caught_up {
             self.rules_version
         } else {
@@ -208,40 +223,40 @@
         }
     }
 
-    /// This host's view of hosts and backend servers.
+    /// Returns this host's view of hosts and backend servers.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    fn take(&mut self, now: Instant, event: Event, fx: &mut Vec<Effect>) {
+    fn handle_event(&mut self, now: Instant, event: Event, fx: &mut Vec<Effect>) {
         match event {
-            Event::Arrived(info) => self.arrived(now, info, fx),
-            Event::CallerDisconnected(id) => self.caller_gone(&id, fx),
-            Event::Call { id, progress } => self.call(now, &id, progress, fx),
+            Event::Arrived(info) => self.handle_arrival(now, info, fx),
+            Event::CallerDisconnected(id) => self.handle_disconnect(&id, fx),
+            Event::Call { id, progress } => self.handle_call_progress(now, &id, progress, fx),
             Event::KeyedCallAnswered { id, answer } => {
                 self.settle(&id, KeyOutcome::Answered(answer), fx);
             }
-            Event::Load(report) => self.load(now, &report, fx),
+            Event::Load(report) => self.apply_load_report(now, &report, fx),
             Event::Link { from, message } => {
                 if let Some(message) = message.with_bounds() {
-                    self.message(now, &from, message, fx);
+                    self.handle_message(now, &from, message, fx);
                 }
             }
-            Event::PeerExited(host) => self.peer_lost(now, &host, fx),
-            Event::PeerUnresponsive(host) => self.peer_silent(now, &host, fx),
+            Event::PeerExited(host) => self.handle_peer_exit(now, &host, fx),
+            Event::PeerUnresponsive(host) => self.handle_peer_silence(now, &host, fx),
             Event::PeerConnected { host, incarnation } => {
-                self.peer_met(now, &host, incarnation, fx);
+                self.handle_peer_link(now, &host, incarnation, fx);
             }
-            Event::Hosts(list) => self.hosts(now, list, fx),
-            Event::Rules { version, rules } => self.rules(version, rules),
-            Event::RuleText { version, text } => self.rule_text(version, text),
-            Event::Drain => self.drain(now, fx),
+            Event::Hosts(list) => self.apply_host_list(now, list, fx),
+            Event::Rules { version, rules } => self.apply_rules(version, rules),
+            Event::RuleText { version, text } => self.store_rule_text(version, text),
+            Event::Drain => self.start_drain(now, fx),
             Event::Tick => self.tick(now, fx),
         }
     }
 
-    /// The host that grants slots of a shard, as the policy has it.
+    /// Returns the host that grants the slots of a shard, according to the policy.
     fn leader(&self, shard: &Shard) -> Option<&HostId> {
         match self.cfg.policy {
             Policy::Local => Some(&self.cfg.host),
@@ -249,6 +264,7 @@
         }
     }
 
+    /// Sends a message to a peer, or queues it if it is for this host itself.
     fn send(&mut self, to: &HostId, message: Message, fx: &mut Vec<Effect>) {
         if *to == self.cfg.host {
             self.inbox.push_back(message);
@@ -260,13 +276,13 @@
         }
     }
 
-    /// Whether nothing is left to do for a caller or to tell a peer.
+    /// Returns whether there is no request in progress and no outcome left to report.
     fn is_idle(&self, now: Instant) -> bool {
-        self.owner.is_idle() && self.claims.is_idle(now, DRAIN_PATIENCE)
+        self.owner.is_idle() && self.claims.is_idle(now, DRAIN_SETTLE_TIMEOUT)
     }
 
-    fn send_all(&mut self, letters: Vec<OutgoingMessage>, fx: &mut Vec<Effect>) {
-        for (to, message) in letters {
+    fn send_all(&mut self, messages: Vec<OutgoingMessage>, fx: &mut Vec<Effect>) {
+        for (to, message) in messages {
             self.send(&to, message, fx);
         }
     }
@@ -280,6 +296,8 @@
         record(info, Duration::ZERO, step, fx);
     }
 
+    /// Refuses a request, ends its claim and records the refusal. `after` is the time since
+    /// the request arrived.
     fn refuse(
         &mut self,
         info: &RequestInfo,
@@ -301,10 +319,12 @@
     }
 }
 
+/// Returns the time since a request arrived.
 fn elapsed(request: &Request<Dispatched>, now: Instant) -> Duration {
     now.duration_since(request.arrived_at)
 }
 
+/// Records a step of a request's decision. `after` is the time since the request arrived.
 fn record(info: &RequestInfo, after: Duration, step: Step, fx: &mut Vec<Effect>) {
     let (id, account) = (info.id.clone(), info.account.clone());
     fx.push(Effect::Record(Record {
@@ -315,8 +335,9 @@
     }));
 }
 
-/// The message that tells a request's shard scheduler what became of its slot.
-fn slot_message(
+/// Returns the message that reports to a request's shard scheduler what happened to its
+/// slot, and the receiver; none for a request without a grant.
+fn slot_progress_message(
     request: &Request<Dispatched>,
     progress: SlotProgress,
 ) -> Option<(HostId, Message)> {
--- a/crates/jaypin_core/src/reducer/poison.rs
+++ b/crates/jaypin_core/src/reducer/poison.rs
@@ -1,73 +1,77 @@
-//! Poisonous requests: deaths told, judged, and spread as strikes.
+//! Requests that crash backend servers: reports of crashes, their evaluation, and the
+//! distribution of crash counts.
 
 use std::time::Instant;
 
 use super::Reducer;
 use crate::request::{Dispatched, Request};
-use crate::{Effect, Lost, Message, Reason, Refusal, RequestInfo};
+use crate::{Effect, LostCall, Message, Reason, Refusal, RequestInfo};
 
 impl Reducer {
-    /// The refusal of a request whose content is quarantined.
-    pub(super) fn quarantined(&self, now: Instant, info: &RequestInfo) -> Option<Refusal> {
+    /// Returns the refusal of a request whose content is quarantined, or `None`.
+    pub(super) fn quarantine_refusal(&self, now: Instant, info: &RequestInfo) -> Option<Refusal> {
         let rule = &self.rules.quarantine;
-        let left = self.quarantine.remaining_quarantine(
+        let remaining = self.quarantine.remaining_quarantine(
             now,
             info.fingerprint,
             rule.crash_limit,
             rule.duration,
         )?;
-        let refusal = Refusal::not_run(Reason::Quarantined).retry_after(left);
+        let refusal = Refusal::not_run(Reason::Quarantined).retry_after(remaining);
         Some(refusal.rule_line(rule.origin.line))
     }
 
-    /// Tells the shard scheduler, where all calls that died together are known.
-    pub(super) fn tell_death(&mut self, request: &Request<Dispatched>, fx: &mut Vec<Effect>) {
+    /// Reports a crash to the shard scheduler, which knows all calls that were lost in it.
+    pub(super) fn report_crash(&mut self, request: &Request<Dispatched>, fx: &mut Vec<Effect>) {
         let slot = &request.state.slot;
         let Some((_, leader, _)) = slot.grant.clone() else {
             return;
         };
-        let died = Message::BackendCrashed {
+        let crash = Message::BackendCrashed {
             backend: slot.backend.clone(),
-            lost: Lost {
+            lost: LostCall {
                 fingerprint: request.info.fingerprint,
                 had_first_token: request.state.first_token_at.is_some(),
             },
         };
-        self.send(&leader, died, fx);
+        self.send(&leader, crash, fx);
     }
 
-    pub(super) fn poison_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    /// Removes expired suspicions, evaluates crashes, and sends the new crash counts to the
+    /// partners.
+    pub(super) fn quarantine_tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let rule = &self.rules.quarantine;
-        let (limit, hold) = (rule.crash_limit.max(1), rule.duration);
-        self.quarantine.expire(now, hold);
-        for (fingerprint, strikes) in self.quarantine.evaluate_crashes(now, limit) {
-            self.spread(fingerprint, strikes, fx);
+        let (limit, duration) = (rule.crash_limit.max(1), rule.duration);
+        self.quarantine.expire(now, duration);
+        for (fingerprint, crash_count) in self.quarantine.evaluate_crashes(now, limit) {
+            self.send_crash_count(fingerprint, crash_count, fx);
         }
     }
 
-    pub(super) fn strike_heard(
+    /// Applies a crash count that a partner sent, and forwards it if it is new.
+    pub(super) fn apply_crash_count(
         &mut self,
         now: Instant,
         fingerprint: u64,
-        strikes: u32,
+        crash_count: u32,
         fx: &mut Vec<Effect>,
     ) {
         if self
             .quarantine
-            .record_crash_count(now, fingerprint, strikes)
+            .record_crash_count(now, fingerprint, crash_count)
         {
-            self.spread(fingerprint, strikes, fx);
+            self.send_crash_count(fingerprint, crash_count, fx);
         }
     }
 
-    /// News goes to the few partners only, who pass it on once.
-    fn spread(&mut self, fingerprint: u64, strikes: u32, fx: &mut Vec<Effect>) {
-        let strike = Message::CrashCount {
+    /// Sends a new crash count to the partners only; each of them forwards it once.
+    fn send_crash_count(&mut self, fingerprint: u64, crash_count: u32, fx: &mut Vec<Effect>) {
+        let message = Message::CrashCount {
             fingerprint,
-            crash_count: strikes,
+            crash_count,
         };
-        for partner in self.strike_partners() {
-            self.send(&partner, strike.clone(), fx);
+        for partner in self.partners_to_notify() {
+            self.send(&partner, message.clone(), fx);
         }
     }
 }
--- a/crates/jaypin_core/src/reducer/succession.rs
+++ b/crates/jaypin_core/src/reducer/succession.rs
@@ -1,4 +1,5 @@
-//! A shard whose leader is gone goes to the next: owners report what runs and ask again.
+//! Handover of a shard to a new leader: owners report their running requests to it and
+//! request slots again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -10,17 +11,19 @@
     BackendId, Config, Effect, HostId, InFlight, Incarnation, Message, Policy, RequestId, Shard,
 };
 
-/// How long a report is kept that came before this host knew that it leads the shard.
-const EARLY_REPORT_HOLD: Duration = Duration::from_secs(1);
+/// How long an owner's report is kept that arrived before this host knew that it leads the
+/// shard.
+const EARLY_REPORT_EXPIRY: Duration = Duration::from_secs(1);
 
-/// Owners whose reports this host's new schedulers wait for.
+/// Reports that this host's new schedulers wait for, and reports that arrived early.
 #[derive(Debug, Default)]
 pub(super) struct Rebuilds {
     awaited: BTreeMap<Shard, Rebuild>,
-    early: Vec<EarlyReport>,
+    early_reports: Vec<EarlyReport>,
 }
 
-/// A report to this host as the leader of a shard, from an owner whose view is ahead.
+/// A report for a shard that this host does not lead yet, from an owner that received the
+/// change of the leader first.
 #[derive(Debug)]
 struct EarlyReport {
     at: Instant,
@@ -29,6 +32,7 @@
     running: Vec<InFlight>,
 }
 
+/// Owners and backend servers that a new scheduler still waits for, at most until `until`.
 #[derive(Debug)]
 struct Rebuild {
     until: Instant,
@@ -37,22 +41,22 @@
 }
 
 impl Reducer {
-    /// Starts the scheduler of a shard that this host leads from now on; says whether it
-    /// is new.
-    pub(super) fn lead(&mut self, now: Instant, shard: &Shard) -> bool {
+    /// Starts the scheduler of a shard that this host leads. Returns false if it is running
+    /// already.
+    pub(super) fn start_scheduler(&mut self, now: Instant, shard: &Shard) -> bool {
         if self.schedulers.contains_key(shard) {
             return false;
         }
         let cfg = Config {
-            incarnation: self.grant_epoch(now),
+            incarnation: self.grant_incarnation(now),
             ..self.cfg.clone()
         };
         let scheduler = Scheduler::new(shard.clone(), &cfg, self.rule_index.clone(), now);
         self.schedulers.insert(shard.clone(), scheduler);
         let owners = self.membership.live_hosts().map(|host| host.id.clone());
         let own = self.cfg.host.clone();
-        // A backend server may have said that it is leaving to the former leader only:
-        // all of them are asked before the first grant.
+        // A backend server may have reported only to the former leader that it is shutting
+        // down, so all backend servers are polled before the first grant.
         let backends = self.membership.shards().members(shard).iter().cloned();
         let rebuild = Rebuild {
             backends: backends.collect(),
@@ -67,32 +71,33 @@
         true
     }
 
-    /// First part of the numbers of a scheduler that starts now: milliseconds since the
-    /// Unix epoch, by this host's clock.
+    /// Returns the first part of the grant numbers of a scheduler that starts now, in
+    /// milliseconds since the Unix epoch by this host's clock.
     ///
-    /// Guards against backend servers that refuse all orders after a shard moved to a
-    /// host whose process is older than its predecessor's: they compare numbers, so a
-    /// later scheduler needs a greater one, whenever its process began.
-    fn grant_epoch(&self, now: Instant) -> Incarnation {
-        let since = self
+    /// Backend servers reject calls whose grant number is smaller than an earlier one. A new
+    /// scheduler needs greater numbers than its predecessor also when its host's process is
+    /// the older one; otherwise all its calls would be rejected.
+    fn grant_incarnation(&self, now: Instant) -> Incarnation {
+        let running = self
             .started
             .map_or(Duration::ZERO, |at| now.duration_since(at));
-        let since = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
-        self.cfg.incarnation.saturating_add(since)
+        let running_ms = u64::try_from(running.as_millis()).unwrap_or(u64::MAX);
+        self.cfg.incarnation.saturating_add(running_ms)
     }
 
-    /// Forgets all schedulers and starts anew.
+    /// Replaces all schedulers by empty ones.
     ///
-    /// Guards against a leader that was paused while another led its shards: its counts
-    /// are old, and grants on top of them would put more on a backend server than it
-    /// bears. Empty schedulers grant nothing until owners reported or the window ended.
+    /// The counts of a leader that was paused while another host led its shards are
+    /// outdated, and granting slots based on them would overload backend servers. Empty
+    /// schedulers grant nothing until the owners reported or the rebuild window ended.
     pub(super) fn restart_schedulers(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.schedulers.clear();
         self.rebuilds.awaited.clear();
-        self.view_changed(now, fx);
+        self.handle_membership_change(now, fx);
     }
 
-    pub(super) fn owner_reported(
+    /// Applies an owner's report of its running requests to the scheduler of their shard.
+    pub(super) fn record_owner_report(
         &mut self,
         now: Instant,
         from: &HostId,
@@ -101,7 +106,7 @@
         fx: &mut Vec<Effect>,
     ) {
         let Some(scheduler) = self.schedulers.get_mut(shard) else {
-            return self.keep_early_report(now, from, shard, running);
+            return self.store_early_report(now, from, shard, running);
         };
         scheduler.adopt_in_flight(from, running, now);
         if let Some(rebuild) = self.rebuilds.awaited.get_mut(shard) {
@@ -110,18 +115,21 @@
         self.end_rebuilds(now, fx);
     }
 
-    /// Guards against a report that overtakes the news that made its sender send it: it
-    /// shows as a full window of waiting, and as slots granted twice when a report is
-    /// the only one. Kept for a moment, it counts when this host takes up the shard.
-    fn keep_early_report(
+    /// Keeps a report for a shard that this host does not lead yet; it is applied when this
+    /// host becomes the leader.
+    ///
+    /// A report can arrive before the membership change that caused it. Without this, the
+    /// new scheduler would wait for the whole rebuild window, and a slot that only the
+    /// dropped report names would be granted twice.
+    fn store_early_report(
         &mut self,
         now: Instant,
         from: &HostId,
         shard: &Shard,
         running: Vec<InFlight>,
     ) {
-        self.drop_old_reports(now);
-        self.rebuilds.early.push(EarlyReport {
+        self.drop_expired_reports(now);
+        self.rebuilds.early_reports.push(EarlyReport {
             at: now,
             from: from.clone(),
             shard: shard.clone(),
@@ -129,23 +137,30 @@
         });
     }
 
-    fn drop_old_reports(&mut self, now: Instant) {
-        let early = &mut self.rebuilds.early;
-        early.retain(|report| now.duration_since(report.at) < EARLY_REPORT_HOLD);
+    fn drop_expired_reports(&mut self, now: Instant) {
+        let early = &mut self.rebuilds.early_reports;
+        early.retain(|report| now.duration_since(report.at) < EARLY_REPORT_EXPIRY);
     }
 
-    pub(super) fn take_early_reports(&mut self, now: Instant, shard: &Shard, fx: &mut Vec<Effect>) {
-        self.drop_old_reports(now);
-        let early = std::mem::take(&mut self.rebuilds.early);
-        let (taken, kept) = early.into_iter().partition(|report| report.shard == *shard);
-        self.rebuilds.early = kept;
-        let taken: Vec<EarlyReport> = taken;
-        for report in taken {
-            self.owner_reported(now, &report.from, shard, report.running, fx);
+    /// Applies the reports that arrived before this host led the shard.
+    pub(super) fn apply_early_reports(
+        &mut self,
+        now: Instant,
+        shard: &Shard,
+        fx: &mut Vec<Effect>,
+    ) {
+        self.drop_expired_reports(now);
+        let early = std::mem::take(&mut self.rebuilds.early_reports);
+        let (applied, kept) = early.into_iter().partition(|report| report.shard == *shard);
+        self.rebuilds.early_reports = kept;
+        let applied: Vec<EarlyReport> = applied;
+        for report in applied {
+            self.record_owner_report(now, &report.from, shard, report.running, fx);
         }
     }
 
-    pub(super) fn backend_reported(
+    /// Records that a backend server reported its load, which new schedulers wait for.
+    pub(super) fn record_backend_report(
         &mut self,
         now: Instant,
         backend: &BackendId,
@@ -157,8 +172,8 @@
         self.end_rebuilds(now, fx);
     }
 
-    /// Lets schedulers grant once every live host and backend server reported, or had
-    /// time to.
+    /// Allows schedulers to grant slots once every live host and every backend server
+    /// reported, or the rebuild window ended.
     pub(super) fn end_rebuilds(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         if self.rebuilds.awaited.is_empty() {
             return;
@@ -170,8 +185,8 @@
             .collect();
         let mut ended = Vec::new();
         self.rebuilds.awaited.retain(|shard, rebuild| {
-            let reported = rebuild.owners.is_disjoint(&live) && rebuild.backends.is_empty();
-            if reported || now >= rebuild.until {
+            let is_complete = rebuild.owners.is_disjoint(&live) && rebuild.backends.is_empty();
+            if is_complete || now >= rebuild.until {
                 ended.push(shard.clone());
                 return false;
             }
@@ -186,11 +201,12 @@
         self.send_all(out, fx);
     }
 
-    /// Reports to leaders in a new term what runs here, and asks them again.
+    /// Reports the running requests to leaders whose term is new, and requests slots from
+    /// them again.
     ///
-    /// A term is a leader's run and revision: a leader that restarted at the same
-    /// address, or was taken for gone, has lost its counts though its name is the same.
-    pub(super) fn follow_leaders(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    /// A term includes the leader's incarnation and revision: a leader that restarted, or
+    /// was marked suspect or dead, has lost its counts though its id is the same.
+    pub(super) fn handle_new_terms(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let terms = self.current_terms();
         if terms == self.terms {
             return;
@@ -204,7 +220,7 @@
         for shard in &changed {
             self.report_in_flight(shard, fx);
         }
-        self.ask_leaders_again(now, &changed, &before, fx);
+        self.request_slots_from_new_leaders(now, &changed, &before, fx);
     }
 
     fn current_terms(&self) -> BTreeMap<Shard, Term> {
@@ -218,7 +234,8 @@
             .collect()
     }
 
-    /// An empty report counts too: it lets the new leader grant before its window ends.
+    /// Reports the running requests of a shard to its leader. An empty report is sent too,
+    /// since it lets the new leader grant slots before its rebuild window ends.
     fn report_in_flight(&mut self, shard: &Shard, fx: &mut Vec<Effect>) {
         let Some(leader) = self.leader(shard).cloned() else {
             return;
@@ -235,7 +252,9 @@
         self.send(&leader, Message::InFlight { shard, running }, fx);
     }
 
-    fn ask_leaders_again(
+    /// Requests slots again for the waiting requests of shards whose term changed or that have
+    /// no leader any more.
+    fn request_slots_from_new_leaders(
         &mut self,
         now: Instant,
         changed: &BTreeSet<Shard>,
@@ -248,20 +267,20 @@
             .iter()
             .filter(|(_, request)| {
                 let shard = &request.state.shard;
-                let gone = before.contains_key(shard) && !self.terms.contains_key(shard);
-                changed.contains(shard) || gone
+                let has_no_leader = before.contains_key(shard) && !self.terms.contains_key(shard);
+                changed.contains(shard) || has_no_leader
             })
             .map(|(id, _)| id.clone())
             .collect();
         for id in moved {
-            self.ask_again(now, &id, fx);
+            self.request_slot_again(now, &id, fx);
         }
     }
 
-    pub(super) fn ask_all_again(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    pub(super) fn request_all_slots_again(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let waiting: Vec<RequestId> = self.owner.waiting.keys().cloned().collect();
         for id in waiting {
-            self.ask_again(now, &id, fx);
+            self.request_slot_again(now, &id, fx);
         }
     }
 }
--- a/crates/jaypin_core/src/reducer/time.rs
+++ b/crates/jaypin_core/src/reducer/time.rs
@@ -1,4 +1,4 @@
-//! What happens because time went on.
+//! Timeouts and periodic work.
 
 use std::time::Instant;
 
@@ -7,6 +7,7 @@
 use crate::{Effect, Message, Policy, Reason, Refusal, RequestId};
 
 impl Reducer {
+    /// Does the periodic work of all parts of the reducer.
     pub(super) fn tick(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         self.gossip_tick(now, fx);
         self.end_rebuilds(now, fx);
@@ -15,10 +16,10 @@
             scheduler.tick(now, &mut out);
         }
         self.send_all(out, fx);
-        self.tell_usage(now, fx);
-        self.ask_overdue(now, fx);
+        self.report_usage(now, fx);
+        self.handle_overdue_requests(now, fx);
         self.claims_tick(now, fx);
-        self.poison_tick(now, fx);
+        self.quarantine_tick(now, fx);
         self.poll_loads(now, fx);
         if self.may_exit(now) && !self.exited {
             self.exited = true;
@@ -26,29 +27,33 @@
         }
     }
 
-    /// Guards against a shard scheduler that died or never got the ask: nothing was
-    /// dispatched, so asking again, at its successor, is safe.
-    pub(super) fn ask_overdue(&mut self, now: Instant, fx: &mut Vec<Effect>) {
+    /// Requests a slot again for requests whose shard scheduler did not respond in time, and
+    /// refuses requests whose first token is overdue.
+    ///
+    /// The shard scheduler may have exited or never received the slot request. Nothing was
+    /// dispatched, so sending it again, or to a new leader, is safe.
+    pub(super) fn handle_overdue_requests(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         let mut overdue = Vec::new();
         let mut late = Vec::new();
         for (id, request) in &self.owner.waiting {
             if now.duration_since(request.arrived_at) >= request.info.first_token_due_in {
                 late.push(id.clone());
             } else if !request.state.queued
-                && now.duration_since(request.state.requested_at) >= self.cfg.ask_timeout
+                && now.duration_since(request.state.requested_at) >= self.cfg.slot_request_timeout
             {
                 overdue.push(id.clone());
             }
         }
         for id in overdue {
-            self.ask_again(now, &id, fx);
+            self.request_slot_again(now, &id, fx);
         }
         for id in late {
-            self.too_late(now, &id, fx);
+            self.refuse_too_late(now, &id, fx);
         }
     }
 
-    pub(super) fn too_late(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
+    /// Refuses a waiting request whose first token is overdue.
+    pub(super) fn refuse_too_late(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>) {
         let Some(request) = self.owner.waiting.remove(id) else {
             return;
         };
@@ -56,7 +61,7 @@
             shard,
             leader,
             queued,
-            connection_refused: unreached,
+            connection_refused,
             ..
         } = request.state;
         self.send(
@@ -69,7 +74,7 @@
         );
         let reason = if queued {
             Reason::TooLate
-        } else if unreached {
+        } else if connection_refused {
             Reason::NoBackend
         } else {
             Reason::NoScheduler
@@ -83,6 +88,8 @@
         );
     }
 
+    /// Requests load reports of the backend servers in the shards that this host leads, or of
+    /// all backend servers under [`Policy::Baseline`].
     pub(super) fn poll_loads(&mut self, now: Instant, fx: &mut Vec<Effect>) {
         if self.next_poll.is_some_and(|at| now < at) {
             return;
