--- a/crates/jaypin_core/src/reducer/arrival.rs
+++ b/crates/jaypin_core/src/reducer/arrival.rs
@@ -73,8 +73,12 @@
     }
 
     /// Dispatches a request to a backend server that this host chooses by itself.
-
-    pub(super) fn dispatch_without_grant(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>,) {
+    pub(super) fn dispatch_without_grant(
+        &mut self,
+        now: Instant,
+        info: RequestInfo,
+        fx: &mut Vec<Effect>,
+    ) {
         let backends = self.membership.list().backends.iter();
         let candidates = backends.filter(|record| record.service == info.service);
         let Some(record) = self.baseline.pick(candidates, &mut self.rng) else {
@@ -90,7 +94,6 @@
     }
 
     /// Requests a slot for a request from the leader of a shard.
-
     pub(super) fn request_slot(&mut self, now: Instant, info: RequestInfo, fx: &mut Vec<Effect>) {
         let Some((shard, leader)) = self.choose_shard(now, &info, &[]) else {
             let refusal = Refusal::not_run(Reason::NoBackend).retry_after(DEFAULT_RETRY_AFTER);
@@ -175,8 +178,12 @@
 
     /// Withdraws a waiting request from its shard scheduler and requests a slot again, from
     /// the same shard or another one. Refuses the request if no shard is left.
-
-    pub(super) fn request_slot_again(&mut self, now: Instant, id: &RequestId, fx: &mut Vec<Effect>,) {
+    pub(super) fn request_slot_again(
+        &mut self,
+        now: Instant,
+        id: &RequestId,
+        fx: &mut Vec<Effect>,
+    ) {
         let Some(mut request) = self.owner.waiting.remove(id) else {
             return;
         };
@@ -207,7 +214,6 @@
     }
 
     /// Sends the slot request of a waiting request to the leader of its shard.
-
     pub(super) fn send_ask(
         &mut self,
         now: Instant,
