--- a/crates/jaypin_core/src/lib.rs
+++ b/crates/jaypin_core/src/lib.rs
@@ -34,7 +34,7 @@
 mod scheduler;
 mod shard;
 mod shard_hints;
-mod stream_pace;
+mod token_gaps;
 
 pub use allowance::Allowance;
 pub use backend_model::BackendModel;
@@ -65,4 +65,4 @@
 pub use scheduler::{BackendReport, BackendState, ShardReport};
 pub use scheduler::{OutgoingMessage, Scheduler};
 pub use shard::{Shard, ShardMap};
-pub use stream_pace::StreamPace;
+pub use token_gaps::TokenGapModel;
--- a/crates/jaypin_core/src/prefix_index.rs
+++ b/crates/jaypin_core/src/prefix_index.rs
@@ -8,7 +8,7 @@
 /// cached; too large a one sends requests after prefixes that are gone.
 const ASSUMED_CACHE_TOKENS: u64 = 14_000;
 /// Tokens of the shortest prefix that is fingerprinted.
-const FIRST_PREFIX_TOKENS: u32 = 64;
+const SHORTEST_PREFIX_TOKENS: u32 = 64;
 
 /// Tokens of the prefix behind the fingerprint at a place, shortest first: 64, 96, 128,
 /// 192, 256, 384 and so on, two for each doubling.
@@ -16,10 +16,10 @@
 /// Callers' prompts share beginnings of any length; coarser steps leave up to half of a
 /// shared beginning unseen, finer ones cost bytes in each ask.
 #[must_use]
-pub fn prefix_tokens(place: usize) -> u32 {
-    let doublings = u32::try_from(place / 2).unwrap_or(u32::MAX).min(16);
-    let tokens = FIRST_PREFIX_TOKENS << doublings;
-    if place.is_multiple_of(2) {
+pub fn prefix_tokens(index: usize) -> u32 {
+    let doublings = u32::try_from(index / 2).unwrap_or(u32::MAX).min(16);
+    let tokens = SHORTEST_PREFIX_TOKENS << doublings;
+    if index.is_multiple_of(2) {
         tokens
     } else {
         tokens + tokens / 2
@@ -33,16 +33,16 @@
 /// counted in tokens that the cache had to take in, which is what evicts.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixIndex {
-    used: HashMap<u64, Use>,
+    last_uses: HashMap<u64, LastUse>,
     by_use: BTreeMap<(u64, u64), u64>,
-    taken_in: u64,
+    admitted_tokens: u64,
     sequence: u64,
 }
 
 /// Last use of a prefix: tokens taken in by then, and a number that tells uses apart.
 #[derive(Debug, Clone, Copy)]
-struct Use {
-    taken_in: u64,
+struct LastUse {
+    admitted_tokens: u64,
     sequence: u64,
 }
 
@@ -52,38 +52,44 @@
     pub fn cached_tokens(&self, prefixes: &[u64]) -> u32 {
         prefixes
             .iter()
-            .rposition(|prefix| self.used.contains_key(prefix))
+            .rposition(|prefix| self.last_uses.contains_key(prefix))
             .map_or(0, prefix_tokens)
     }
 
     /// Remembers the prefixes of a granted request, of which `uncached` tokens were new.
     pub fn insert(&mut self, prefixes: &[u64], uncached: u32) {
-        self.taken_in += u64::from(uncached);
+        self.admitted_tokens += u64::from(uncached);
         for prefix in prefixes {
             self.sequence += 1;
-            let (taken_in, sequence) = (self.taken_in, self.sequence);
-            if let Some(old) = self.used.insert(*prefix, Use { taken_in, sequence }) {
-                self.by_use.remove(&(old.taken_in, old.sequence));
+            let (admitted_tokens, sequence) = (self.admitted_tokens, self.sequence);
+            if let Some(old) = self.last_uses.insert(
+                *prefix,
+                LastUse {
+                    admitted_tokens,
+                    sequence,
+                },
+            ) {
+                self.by_use.remove(&(old.admitted_tokens, old.sequence));
             }
-            self.by_use.insert((taken_in, sequence), *prefix);
+            self.by_use.insert((admitted_tokens, sequence), *prefix);
         }
         self.evict();
     }
 
     fn evict(&mut self) {
-        let oldest = self.taken_in.saturating_sub(ASSUMED_CACHE_TOKENS);
+        let oldest = self.admitted_tokens.saturating_sub(ASSUMED_CACHE_TOKENS);
         while let Some((last_use, prefix)) = self.by_use.first_key_value() {
             if last_use.0 >= oldest {
                 return;
             }
-            self.used.remove(prefix);
+            self.last_uses.remove(prefix);
             self.by_use.pop_first();
         }
     }
 
     /// Forgets all, as a backend server that died did.
     pub fn clear(&mut self) {
-        self.used.clear();
+        self.last_uses.clear();
         self.by_use.clear();
     }
 }
--- a/crates/jaypin_core/src/rule_index.rs
+++ b/crates/jaypin_core/src/rule_index.rs
@@ -22,9 +22,9 @@
     /// Longest time between tokens, in seconds.
     pub gap: f64,
     /// Running streams per shard that only this tier and higher ones may use.
-    pub reserve: u32,
+    pub reserved_slots: u32,
     /// Share of a shard's granted tokens that this tier gets even under load, 0 to 1.
-    pub minimum: f64,
+    pub minimum_share: f64,
     /// Line of the rule.
     pub line: u32,
 }
@@ -46,8 +46,8 @@
             rank: tier.rank,
             first_token: tier.first_token.as_secs_f64(),
             gap: tier.gap.as_secs_f64(),
-            reserve: tier.reserve,
-            minimum: f64::from(tier.minimum_percent.min(100)) / 100.0,
+            reserved_slots: tier.reserve,
+            minimum_share: f64::from(tier.minimum_percent.min(100)) / 100.0,
             line: tier.origin.line,
         });
         let shares = rules.accounts.iter();
@@ -78,8 +78,8 @@
             rank,
             first_token: DEFAULT_FIRST_TOKEN,
             gap: DEFAULT_GAP,
-            reserve: 0,
-            minimum: 0.0,
+            reserved_slots: 0,
+            minimum_share: 0.0,
             line: 0,
         })
     }
--- a/crates/jaypin_core/src/scheduler/grants.rs
+++ b/crates/jaypin_core/src/scheduler/grants.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use super::queue::WaitingAsk;
-use super::running::Running;
+use super::queue::WaitingRequest;
+use super::running::RunningGrant;
 use super::{Backend, OutgoingMessage, Scheduler};
 use crate::rule_index::TierTargets;
 use crate::{BackendId, Candidate, Grant, Message, RequestId};
@@ -11,33 +11,33 @@
 /// Backend servers named in a grant's explanation.
 const EXPLAINED_CANDIDATES: usize = 3;
 /// Slots that higher tiers need, below which none are kept for them.
-const LEAST_NEED: f64 = 0.5;
+const MIN_NEEDED_SLOTS: f64 = 0.5;
 /// Part of all slots that may be kept from deferrable work.
-const MOST_KEPT: f64 = 0.9;
+const MAX_RESERVED_FRACTION: f64 = 0.9;
 /// Requests of a tier that are weighed before one is granted.
-const TRIED_PER_TIER: usize = 16;
+const MAX_CONSIDERED_PER_TIER: usize = 16;
 /// Weight of prefill that another backend server of the shard would save.
 ///
 /// Above 1, for it takes time from all that wait, while a slower answer takes time from
 /// one request that still meets its deadline.
-const WASTE_WEIGHT: f64 = 8.0;
+const AVOIDABLE_PREFILL_WEIGHT: f64 = 8.0;
 /// Tokens of avoidable prefill from which a request lets others of its tier pass.
-const TOLERATED_WASTE: u32 = 64;
+const TOLERATED_AVOIDABLE_TOKENS: u32 = 64;
 /// Part of the time to its latest start for which a request lets others pass.
-const PATIENCE: f64 = 0.3;
+const CACHE_WAIT_FRACTION: f64 = 0.3;
 /// Weight of the answer's time: a slower answer that meets its deadline costs little.
 const ANSWER_WEIGHT: f64 = 0.1;
 /// A tier can wait if its first-token time is so many times a higher tier's.
 const DEFERRABLE_FACTOR: f64 = 4.0;
 /// Slots kept for bursts, as a factor on the root of the slots that higher tiers need.
-const BURST_ROOTS: f64 = 0.5;
+const BURST_FACTOR: f64 = 0.5;
 /// Seconds of prefill queued at a backend server beyond which no deferrable work is
 /// added: what waits inside an engine can't be overtaken.
-const MAX_BACKLOG: f64 = 0.1;
+const MAX_DEFERRABLE_BACKLOG: f64 = 0.1;
 /// Part of a higher tier's first-token time that lower tiers' prefills may take up.
-const GUARD_PART: f64 = 0.3;
+const PREFILL_DELAY_FRACTION: f64 = 0.3;
 /// Backend servers, one in so many, that lower tiers leave without long prefills.
-const CALM_ONE_IN: usize = 3;
+const UNCROWDED_DIVISOR: usize = 3;
 /// Seconds that a full backend server counts as slower than an empty one.
 const LOAD_WEIGHT: f64 = 0.01;
 /// Largest credit of a minimum, in times the cost of the request it is spent on.
@@ -48,11 +48,11 @@
 
 /// A backend server that a request could go to.
 #[derive(Debug, Clone)]
-struct Choice {
+struct Placement {
     backend: BackendId,
     score: f64,
     /// Tokens of prefill that another backend server would save.
-    waste: u32,
+    avoidable_tokens: u32,
     first_token: f64,
     running: u32,
     limit: u32,
@@ -63,38 +63,38 @@
 struct Round {
     now: Instant,
     strict_gap: f64,
-    strict_is_possible: bool,
-    strict_room: u32,
+    has_fast_backend: bool,
+    free_strict_slots: u32,
     /// Whether the room that is left is kept for higher tiers.
     is_reserved: bool,
 }
 
 impl Scheduler {
     /// Grants while something that waits fits somewhere.
-    pub(super) fn pump(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
+    pub(super) fn grant_waiting(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         if now < self.ready_at || self.queue.len() == 0 {
             return;
         }
-        while let Some((id, options)) = self.next_pair(now) {
-            self.grant(&id, options, now, out);
+        while let Some((id, placements)) = self.next_placement(now) {
+            self.grant(&id, placements, now, out);
         }
     }
 
     /// The next request and its backend servers, the chosen one first.
-    fn next_pair(&self, now: Instant) -> Option<(RequestId, Vec<Choice>)> {
+    fn next_placement(&self, now: Instant) -> Option<(RequestId, Vec<Placement>)> {
         let mut round = self.round(now)?;
-        let owed = self.owed_minimum();
+        let owed = self.tier_owed_minimum();
         let order = owed
             .into_iter()
             .chain(self.queue.ranks().filter(|rank| Some(*rank) != owed));
         for rank in order {
             let tier = self.rules.tier(rank);
-            let mut kept = self.reserved_against(rank);
+            let mut reserved = self.slots_reserved_above(rank);
             if owed != Some(rank) {
-                kept += self.headroom(&tier, now);
+                reserved += self.headroom(&tier, now);
             }
-            round.is_reserved = round.strict_room <= kept;
-            if let Some(pair) = self.next_of_tier(&tier, &round) {
+            round.is_reserved = round.free_strict_slots <= reserved;
+            if let Some(pair) = self.next_in_tier(&tier, &round) {
                 return Some(pair);
             }
         }
@@ -103,22 +103,22 @@
 
     /// The first request of a tier that finds a backend server without avoidable
     /// prefill; failing that, the first that finds any and has no time to lose.
-    fn next_of_tier(&self, tier: &TierTargets, round: &Round) -> Option<(RequestId, Vec<Choice>)> {
-        let mut wasteful = None;
-        for waiting in self.queue.in_order(tier.rank).take(TRIED_PER_TIER) {
-            let options = self.options(waiting, tier, round);
-            let Some(best) = options.first() else {
+    fn next_in_tier(&self, tier: &TierTargets, round: &Round,) -> Option<(RequestId, Vec<Placement>)> {
+        let mut fallback = None;
+        for waiting in self.queue.in_order(tier.rank).take(MAX_CONSIDERED_PER_TIER) {
+            let placements = self.placements(waiting, tier, round);
+            let Some(best) = placements.first() else {
                 continue;
             };
-            let pair = (waiting.ask.id.clone(), options.clone());
-            if best.waste <= TOLERATED_WASTE {
+            let pair = (waiting.ask.id.clone(), placements.clone());
+            if best.avoidable_tokens <= TOLERATED_AVOIDABLE_TOKENS {
                 return Some(pair);
             }
-            if wasteful.is_none() && !may_let_pass(waiting, round) {
-                wasteful = Some(pair);
+            if fallback.is_none() && !can_wait_for_cached_prefix(waiting, round) {
+                fallback = Some(pair);
             }
         }
-        wasteful
+        fallback
     }
 
     /// What a round goes by; none when no backend server has room.
@@ -127,29 +127,30 @@
         let mut round = Round {
             now,
             strict_gap,
-            strict_is_possible: false,
-            strict_room: 0,
+            has_fast_backend: false,
+            free_strict_slots: 0,
             is_reserved: false,
         };
-        let mut has_room = false;
+        let mut has_free_slot = false;
         for backend in self.live_backends() {
-            let is_slow = backend.model.token_gaps.misses(strict_gap);
-            round.strict_is_possible |= !is_slow;
-            has_room |= backend.model.room(f64::MAX, now) > 0;
-            if !is_slow {
-                round.strict_room += backend.model.room(strict_gap, now);
+            let is_too_slow = backend.model.token_gaps.single_stream_exceeds(strict_gap);
+            round.has_fast_backend |= !is_too_slow;
+            has_free_slot |= backend.model.free_slots(f64::MAX, now) > 0;
+            if !is_too_slow {
+                round.free_strict_slots += backend.model.free_slots(strict_gap, now);
             }
         }
-        has_room.then_some(round)
+        has_free_slot.then_some(round)
     }
 
     /// Slots that higher tiers have reserved and not in use; at least one of those that
     /// may be used now is left over, or a backend server that is tried with a single
     /// request would wait for a higher tier's for ever.
-    fn reserved_against(&self, rank: u8) -> u32 {
+    fn slots_reserved_above(&self, rank: u8) -> u32 {
         let higher = self.rules.tiers().iter().filter(|tier| tier.rank < rank);
         let reserved: u32 = higher
-            .map(|tier| tier.reserve.saturating_sub(self.running.of_tier(tier.rank)))
+            .map(|tier| { tier.reserved_slots.saturating_sub(self.running.of_tier(tier.rank))
+            })
             .sum();
         let slots: u32 = self
             .live_backends()
@@ -174,11 +175,12 @@
         };
         let running: u32 = urgent.map(|other| self.running.of_tier(other.rank)).sum();
         let needed = self.slots_needed_above(last + 1, now);
-        if needed < LEAST_NEED {
+        if needed < MIN_NEEDED_SLOTS {
             return 0;
         }
-        let kept = needed + BURST_ROOTS * needed.sqrt();
-        let left = kept.min(self.capacity(now).slots * MOST_KEPT) - f64::from(running);
+        let reserved = needed + BURST_FACTOR * needed.sqrt();
+        let left =
+            reserved.min(self.capacity(now).slots * MAX_RESERVED_FRACTION) - f64::from(running);
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -189,7 +191,7 @@
     }
 
     /// The tier whose minimum is due, if one is; never before the top tier.
-    fn owed_minimum(&self) -> Option<u8> {
+    fn tier_owed_minimum(&self) -> Option<u8> {
         let top = self.queue.ranks().next()?;
         if self
             .rules
@@ -202,40 +204,40 @@
         self.queue.ranks().skip(1).find(|rank| {
             let cost = self.queue.in_order(*rank).next();
             let cost = cost.map_or(f64::MAX, |waiting| waiting.work().tokens());
-            self.credit.get(rank).is_some_and(|credit| *credit >= cost)
+            self.minimum_credit.get(rank).is_some_and(|credit| *credit >= cost)
         })
     }
 
     /// Each grant earns waiting tiers their minimum, and costs its own tier what it has.
-    fn note_minimum(&mut self, rank: u8, tokens: f64) {
-        if let Some(credit) = self.credit.get_mut(&rank) {
+    fn update_minimum_credit(&mut self, rank: u8, tokens: f64) {
+        if let Some(credit) = self.minimum_credit.get_mut(&rank) {
             *credit = (*credit - tokens).max(-MAX_DEBT * tokens);
         }
-        for tier in self.rules.tiers().iter().filter(|tier| tier.minimum > 0.0) {
+        for tier in self.rules.tiers().iter().filter(|tier| tier.minimum_share > 0.0) {
             let Some(head) = self.queue.in_order(tier.rank).next() else {
                 continue;
             };
             let most = head.work().tokens() * MAX_CREDIT;
-            let credit = self.credit.entry(tier.rank).or_default();
-            *credit = (*credit + tokens * tier.minimum).min(most);
+            let credit = self.minimum_credit.entry(tier.rank).or_default();
+            *credit = (*credit + tokens * tier.minimum_share).min(most);
         }
     }
 
     // ------------------------------------------------------------------ placement
 
-    fn options(&self, waiting: &WaitingAsk, tier: &TierTargets, round: &Round) -> Vec<Choice> {
-        let guard = self.guard_for(tier.rank);
-        let most_cached = self.most_cached(waiting);
-        let mut best: Vec<Choice> = Vec::new();
+    fn placements(&self, waiting: &WaitingRequest, tier: &TierTargets, round: &Round,) -> Vec<Placement> {
+        let tolerable_delay = self.tolerable_prefill_delay(tier.rank);
+        let max_cached_tokens = self.max_cached_tokens(waiting);
+        let mut best: Vec<Placement> = Vec::new();
         for (id, backend) in &self.backends {
-            let Some(mut option) = self.option(backend, waiting, tier, round, (guard, most_cached))
+            let Some(mut placement) = self.placement(backend, waiting, tier, round, (tolerable_delay, max_cached_tokens),)
             else {
                 continue;
             };
-            let place = best.partition_point(|other| other.score <= option.score);
+            let place = best.partition_point(|other| other.score <= placement.score);
             if place < EXPLAINED_CANDIDATES {
-                option.backend = id.clone();
-                best.insert(place, option);
+                placement.backend = id.clone();
+                best.insert(place, placement);
                 best.truncate(EXPLAINED_CANDIDATES);
             }
         }
@@ -243,45 +245,45 @@
     }
 
     /// Weighs a backend server for a request; none when it can't serve it well.
-    fn option(
+    fn placement(
         &self,
         backend: &Backend,
-        waiting: &WaitingAsk,
+        waiting: &WaitingRequest,
         tier: &TierTargets,
         round: &Round,
-        (guard, most_cached): (Option<f64>, u32),
-    ) -> Option<Choice> {
+        (tolerable_delay, max_cached_tokens): (Option<f64>, u32),
+    ) -> Option<Placement> {
         let model = &backend.model;
-        let gap = gap_for(backend, tier, round)?;
-        if round.is_reserved
-            && round.strict_is_possible
-            && !model.token_gaps.misses(round.strict_gap)
-        {
+        let gap = target_gap(backend, tier, round)?;
+        if round.is_reserved && round.has_fast_backend && !model.token_gaps.single_stream_exceeds(round.strict_gap) {
             return None;
         }
-        if model.room(gap, round.now) == 0 {
+        if model.free_slots(gap, round.now) == 0 {
             return None;
         }
-        let (backlog, prefill) = self.prefill_on(backend, waiting, round.now);
+        let (backlog, prefill) = self.prefill_estimate(backend, waiting, round.now);
         let first_token = backlog + prefill;
-        let most_backlog = if tier.first_token
-            >= DEFERRABLE_FACTOR * guard.map_or(f64::MAX, |guard| guard / GUARD_PART)
+        let max_backlog = if tier.first_token
+            >= DEFERRABLE_FACTOR * tolerable_delay.map_or(f64::MAX, |tolerable_delay| {
+                    tolerable_delay / PREFILL_DELAY_FRACTION
+                })
         {
-            MAX_BACKLOG
+            MAX_DEFERRABLE_BACKLOG
         } else {
-            guard.unwrap_or(f64::MAX)
+            tolerable_delay.unwrap_or(f64::MAX)
         };
-        if backlog > most_backlog {
+        if backlog > max_backlog {
             return None;
         }
-        if guard.is_some_and(|guard| self.would_crowd(backend, first_token, guard, round.now)) {
+        if tolerable_delay.is_some_and(|tolerable_delay| { self.would_delay_higher_tiers(backend, first_token, tolerable_delay, round.now)
+        }) {
             return None;
         }
         let answer = f64::from(waiting.answer_tokens) * model.token_gaps.gap(model.running + 1);
-        let spent = round.now.saturating_duration_since(waiting.since);
-        let first_left = waiting.ask.first_token_due_in.saturating_sub(spent);
-        let whole_left = waiting.ask.response_due_in.saturating_sub(spent);
-        if first_token > first_left.as_secs_f64() || first_token + answer > whole_left.as_secs_f64()
+        let spent = round.now.saturating_duration_since(waiting.queued_at);
+        let first_token_time_left = waiting.ask.first_token_due_in.saturating_sub(spent);
+        let response_time_left = waiting.ask.response_due_in.saturating_sub(spent);
+        if first_token > first_token_time_left.as_secs_f64() || first_token + answer > response_time_left.as_secs_f64()
         {
             return None;
         }
@@ -290,17 +292,17 @@
         // load decides between backend servers that are as fast.
         let load = f64::from(model.running) / f64::from(limit.max(1));
         let cached = backend.prefixes.cached_tokens(&waiting.ask.prefixes);
-        let waste = most_cached.saturating_sub(cached);
-        let waste_time = f64::from(waste) / model.prefill_rate();
+        let avoidable_tokens = max_cached_tokens.saturating_sub(cached);
+        let avoidable_time = f64::from(avoidable_tokens) / model.prefill_rate();
         let score = first_token
             + prefill
             + ANSWER_WEIGHT * answer
-            + WASTE_WEIGHT * waste_time
+            + AVOIDABLE_PREFILL_WEIGHT * avoidable_time
             + LOAD_WEIGHT * load;
-        Some(Choice {
+        Some(Placement {
             backend: BackendId::default(),
             score,
-            waste,
+            avoidable_tokens,
             first_token,
             running: model.running,
             limit,
@@ -308,17 +310,17 @@
     }
 
     /// Seconds of prefill before and of a request.
-    fn prefill_on(&self, backend: &Backend, waiting: &WaitingAsk, now: Instant) -> (f64, f64) {
-        if self.plain {
+    fn prefill_estimate(&self, backend: &Backend, waiting: &WaitingRequest, now: Instant,) -> (f64, f64) {
+        if self.is_plain {
             return (0.0, 0.0);
         }
-        let tokens = self.uncached(backend, waiting);
-        (backend.model.backlog(now), backend.model.prefill(tokens))
+        let tokens = self.uncached_tokens(backend, waiting);
+        (backend.model.prefill_backlog(now), backend.model.estimated_prefill(tokens),)
     }
 
     /// Most tokens of a prompt that any backend server of the shard holds.
-    fn most_cached(&self, waiting: &WaitingAsk) -> u32 {
-        if self.plain || waiting.ask.prefixes.is_empty() {
+    fn max_cached_tokens(&self, waiting: &WaitingRequest) -> u32 {
+        if self.is_plain || waiting.ask.prefixes.is_empty() {
             return 0;
         }
         let cached = self
@@ -327,8 +329,8 @@
         cached.max().unwrap_or_default()
     }
 
-    fn uncached(&self, backend: &Backend, waiting: &WaitingAsk) -> u32 {
-        if self.plain {
+    fn uncached_tokens(&self, backend: &Backend, waiting: &WaitingRequest) -> u32 {
+        if self.is_plain {
             return 0;
         }
         let cached = backend.prefixes.cached_tokens(&waiting.ask.prefixes);
@@ -336,46 +338,43 @@
     }
 
     /// Seconds of prefill that tiers above a rank can wait out; none for the top tier.
-    fn guard_for(&self, rank: u8) -> Option<f64> {
+    fn tolerable_prefill_delay(&self, rank: u8) -> Option<f64> {
         let higher = self.rules.tiers().iter().filter(|tier| tier.rank < rank);
         let least = higher.map(|tier| tier.first_token).reduce(f64::min)?;
-        Some(least * GUARD_PART)
+        Some(least * PREFILL_DELAY_FRACTION)
     }
 
     /// Whether a long prefill here would leave too few backend servers on which a
     /// higher tier's request could start at once.
-    fn would_crowd(&self, backend: &Backend, first_token: f64, guard: f64, now: Instant) -> bool {
-        if self.plain || first_token <= guard || self.backends.len() < 2 {
+    fn would_delay_higher_tiers(&self, backend: &Backend, first_token: f64,
+        tolerable_delay: f64, now: Instant,) -> bool {
+        if self.is_plain || first_token <= tolerable_delay || self.backends.len() < 2 {
             return false;
         }
-        let is_calm =
-            |other: &&Backend| other.model.takes_work(now) && other.model.backlog(now) <= guard;
-        let calm = self.live_backends().filter(is_calm).count();
-        let after = calm - usize::from(is_calm(&backend));
-        after < self.backends.len().div_ceil(CALM_ONE_IN)
+        let is_uncrowded =
+            |other: &&Backend| { other.model.accepts_work(now) && other.model.prefill_backlog(now) <= tolerable_delay
+        };
+        let uncrowded = self.live_backends().filter(is_uncrowded).count();
+        let after = uncrowded - usize::from(is_uncrowded(&backend));
+        after < self.backends.len().div_ceil(UNCROWDED_DIVISOR)
     }
 
     // ------------------------------------------------------------------ granting
 
-    fn grant(
-        &mut self,
-        id: &RequestId,
-        options: Vec<Choice>,
-        now: Instant,
-        out: &mut Vec<OutgoingMessage>,
-    ) {
-        let Some(waiting) = self.queue.serve(id) else {
+    fn grant(&mut self, id: &RequestId,
+        placements: Vec<Placement>, now: Instant, out: &mut Vec<OutgoingMessage>,) {
+        let Some(waiting) = self.queue.take_for_service(id) else {
             return;
         };
-        let chosen = options[0].backend.clone();
+        let chosen = placements[0].backend.clone();
         self.number.sequence += 1;
         self.start(&waiting, &chosen, now);
-        self.note_minimum(waiting.ask.tier, waiting.work().tokens());
-        let candidates = options.into_iter().map(|option| Candidate {
-            backend: option.backend,
-            first_token: Duration::from_secs_f64(option.first_token),
-            running: option.running,
-            limit: option.limit,
+        self.update_minimum_credit(waiting.ask.tier, waiting.work().tokens());
+        let candidates = placements.into_iter().map(|placement| Candidate {
+            backend: placement.backend,
+            first_token: Duration::from_secs_f64(placement.first_token),
+            running: placement.running,
+            limit: placement.limit,
         });
         let grant = Grant {
             shard: self.shard.clone(),
@@ -384,21 +383,20 @@
             number: self.number,
             backend: chosen,
             candidates: candidates.collect(),
-            expected_wait: now.saturating_duration_since(waiting.since),
+            expected_wait: now.saturating_duration_since(waiting.queued_at),
         };
         out.push((waiting.owner, Message::Grant(grant)));
     }
 
-    fn start(&mut self, waiting: &WaitingAsk, chosen: &BackendId, now: Instant) {
+    fn start(&mut self, waiting: &WaitingRequest, chosen: &BackendId, now: Instant) {
         let Some(backend) = self.backends.get(chosen) else {
             return;
         };
-        let tokens = self.uncached(backend, waiting);
-        let expected = backend.model.backlog(now)
-            + backend.model.prefill(tokens)
-            + f64::from(waiting.answer_tokens)
-                * backend.model.token_gaps.gap(backend.model.running + 1);
-        let run = Running {
+        let tokens = self.uncached_tokens(backend, waiting);
+        let expected = backend.model.prefill_backlog(now)
+            + backend.model.estimated_prefill(tokens)
+            + f64::from(waiting.answer_tokens) * backend.model.token_gaps.gap(backend.model.running + 1);
+        let run = RunningGrant {
             number: self.number,
             attempt: waiting.ask.attempt,
             owner: waiting.owner.clone(),
@@ -408,14 +406,14 @@
             granted_at: now,
             expected_end: now + Duration::from_secs_f64(expected * 1.5),
             first_token_at: None,
-            area_at_first_token: 0.0,
+            stream_seconds_at_first_token: 0.0,
             check_at: now,
         };
         if let Some(backend) = self.backends.get_mut(chosen) {
-            backend.model.start(self.number.sequence, tokens, now);
+            backend.model.record_grant(self.number.sequence, tokens, now);
             backend.prefixes.insert(&waiting.ask.prefixes, tokens);
         }
-        self.limits.started(&waiting.ask.account);
+        self.limits.record_start(&waiting.ask.account);
         self.running.insert(waiting.ask.id.clone(), run);
     }
 }
@@ -424,25 +422,25 @@
 ///
 /// One that is too slow for interactive work takes deferrable work up to that work's
 /// own target, and now and then a single request that shows whether it recovered.
-fn gap_for(backend: &Backend, tier: &TierTargets, round: &Round) -> Option<f64> {
+fn target_gap(backend: &Backend, tier: &TierTargets, round: &Round) -> Option<f64> {
     let pace = &backend.model.token_gaps;
-    if !round.strict_is_possible || !pace.misses(round.strict_gap) {
+    if !round.has_fast_backend || !pace.single_stream_exceeds(round.strict_gap) {
         return Some(round.strict_gap);
     }
-    if !pace.misses(tier.gap) {
+    if !pace.single_stream_exceeds(tier.gap) {
         return Some(tier.gap);
     }
     backend
         .model
-        .probe_is_due(round.now)
+        .is_probe_due(round.now)
         .then_some(round.strict_gap)
 }
 
 /// Whether a request can wait for a backend server that holds its prefix.
-fn may_let_pass(waiting: &WaitingAsk, round: &Round) -> bool {
+fn can_wait_for_cached_prefix(waiting: &WaitingRequest, round: &Round) -> bool {
     let all = waiting
         .latest_start
-        .saturating_duration_since(waiting.since);
-    let spent = round.now.saturating_duration_since(waiting.since);
-    waiting.ask.tier > 0 && spent < all.mul_f64(PATIENCE)
+        .saturating_duration_since(waiting.queued_at);
+    let spent = round.now.saturating_duration_since(waiting.queued_at);
+    waiting.ask.tier > 0 && spent < all.mul_f64(CACHE_WAIT_FRACTION)
 }
--- a/crates/jaypin_core/src/scheduler/limits.rs
+++ b/crates/jaypin_core/src/scheduler/limits.rs
@@ -15,33 +15,33 @@
 /// Seconds of its rate that an account may use at once.
 const BURST_SECONDS: f64 = 2.0;
 /// Wait that is stated to an account over its concurrency limit.
-const CONCURRENCY_WAIT: Duration = Duration::from_secs(1);
+const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Use of this shard by accounts that run or are limited.
 #[derive(Debug, Default)]
-pub struct Limits {
-    accounts: HashMap<AccountId, Usage>,
+pub struct AccountLimits {
+    accounts: HashMap<AccountId, AccountState>,
 }
 
 #[derive(Debug)]
-struct Usage {
+struct AccountState {
     running: u32,
     bucket: Option<Bucket>,
     allowance: Option<Allowance>,
-    asked_tokens: f64,
-    most_at_once: u32,
+    requested_tokens: f64,
+    peak_at_once: u32,
 }
 
 /// Tokens that may be used now.
 #[derive(Debug)]
 struct Bucket {
     tokens: f64,
-    filled_at: Instant,
+    refilled_at: Instant,
 }
 
 /// What a shard saw of a limited account since it last told.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
+pub struct AccountUsage {
     /// The account.
     pub account: AccountId,
     /// Tokens asked for.
@@ -50,26 +50,26 @@
     pub at_once: u32,
 }
 
-impl Default for Usage {
+impl Default for AccountState {
     fn default() -> Self {
         Self {
             running: 0,
             bucket: None,
             allowance: None,
-            asked_tokens: 0.0,
-            most_at_once: 0,
+            requested_tokens: 0.0,
+            peak_at_once: 0,
         }
     }
 }
 
-impl Limits {
+impl AccountLimits {
     /// Counts a request that starts.
-    pub fn started(&mut self, account: &AccountId) {
+    pub fn record_start(&mut self, account: &AccountId) {
         self.accounts.entry(account.clone()).or_default().running += 1;
     }
 
     /// Counts the end of a request; an account without limits is forgotten with its last.
-    pub fn ended(&mut self, account: &AccountId) {
+    pub fn record_end(&mut self, account: &AccountId) {
         let Some(usage) = self.accounts.get_mut(account) else {
             return;
         };
@@ -87,29 +87,29 @@
     }
 
     /// What was asked by limited accounts since the last call; idle ones are forgotten.
-    pub fn take_seen(&mut self, now: Instant) -> Vec<Seen> {
-        let mut seen = Vec::new();
+    pub fn take_seen(&mut self, now: Instant) -> Vec<AccountUsage> {
+        let mut usages = Vec::new();
         self.accounts.retain(|account, usage| {
             let Some(bucket) = &usage.bucket else {
                 return true;
             };
             let idle = now
-                .saturating_duration_since(bucket.filled_at)
+                .saturating_duration_since(bucket.refilled_at)
                 .as_secs_f64();
             if usage.running == 0 && idle > 2.0 * BURST_SECONDS {
                 return false;
             }
-            if usage.asked_tokens > 0.0 {
-                seen.push(Seen {
+            if usage.requested_tokens > 0.0 {
+                usages.push(AccountUsage {
                     account: account.clone(),
-                    tokens: std::mem::take(&mut usage.asked_tokens),
-                    at_once: std::mem::replace(&mut usage.most_at_once, usage.running),
+                    tokens: std::mem::take(&mut usage.requested_tokens),
+                    at_once: std::mem::replace(&mut usage.peak_at_once, usage.running),
                 });
             }
             true
         });
-        seen.sort_by(|a, b| a.account.cmp(&b.account));
-        seen
+        usages.sort_by(|a, b| a.account.cmp(&b.account));
+        usages
     }
 
     /// Charges a request to its account; gives the wait when the account is over a limit.
@@ -121,21 +121,21 @@
         now: Instant,
     ) -> Option<Duration> {
         let usage = self.accounts.entry(account.clone()).or_default();
-        usage.asked_tokens += tokens;
-        usage.most_at_once = usage.most_at_once.max(usage.running + 1);
+        usage.requested_tokens += tokens;
+        usage.peak_at_once = usage.peak_at_once.max(usage.running + 1);
         let allowance = usage.allowance.unwrap_or(Allowance::all_of(rule));
         let rate = allowance.tokens_per_second;
         let bucket = usage.bucket.get_or_insert(Bucket {
             tokens: rate * BURST_SECONDS,
-            filled_at: now,
+            refilled_at: now,
         });
         let since = now
-            .saturating_duration_since(bucket.filled_at)
+            .saturating_duration_since(bucket.refilled_at)
             .as_secs_f64();
         bucket.tokens = (bucket.tokens + rate * since).min(rate * BURST_SECONDS);
-        bucket.filled_at = now;
+        bucket.refilled_at = now;
         if f64::from(usage.running) >= allowance.at_once.max(1.0) {
-            return Some(CONCURRENCY_WAIT);
+            return Some(CONCURRENCY_RETRY_AFTER);
         }
         // A request larger than the burst passes a full bucket and leaves a debt.
         if bucket.tokens <= 0.0 {
@@ -149,7 +149,7 @@
 
 impl Scheduler {
     /// Charges a request to its account; gives the wait when the account is over a limit.
-    pub(super) fn over_limit(&mut self, ask: &Ask, now: Instant) -> Option<Duration> {
+    pub(super) fn charge_limits(&mut self, ask: &Ask, now: Instant) -> Option<Duration> {
         let rules = self.rules.clone();
         let rule = rules.limit(&ask.account)?;
         let tokens = f64::from(ask.prompt_tokens) + f64::from(ask.max_tokens);
@@ -157,7 +157,7 @@
     }
 
     /// What limited accounts asked here since the last call.
-    pub fn take_usage(&mut self, now: Instant) -> Vec<Seen> {
+    pub fn take_usage(&mut self, now: Instant) -> Vec<AccountUsage> {
         self.limits.take_seen(now)
     }
 
--- a/crates/jaypin_core/src/scheduler/mod.rs
+++ b/crates/jaypin_core/src/scheduler/mod.rs
@@ -21,8 +21,8 @@
     Message, Presence, Reason, RequestId, Shard, SlotProgress, score,
 };
 use estimate::Demand;
-use limits::Limits;
-use queue::{WaitingAsk, WaitingQueue};
+use limits::AccountLimits;
+use queue::{WaitingQueue, WaitingRequest};
 use running::RunningTable;
 
 pub use report::{BackendReport, BackendState, ShardReport};
@@ -39,13 +39,13 @@
     max_waiting: usize,
     rng: ChaCha8Rng,
     rules: Arc<RuleIndex>,
-    plain: bool,
+    is_plain: bool,
     backends: BTreeMap<BackendId, Backend>,
     queue: WaitingQueue,
     running: RunningTable,
     demand: Demand,
-    limits: Limits,
-    credit: BTreeMap<u8, f64>,
+    limits: AccountLimits,
+    minimum_credit: BTreeMap<u8, f64>,
 }
 
 /// A backend server of the shard.
@@ -61,7 +61,7 @@
     pub fn new(shard: Shard, cfg: &Config, rules: Arc<RuleIndex>, now: Instant) -> Self {
         let seed = cfg.seed ^ score(&cfg.host, &shard.to_string());
         Self {
-            plain: rules.is_plain(&shard.service),
+            is_plain: rules.is_plain(&shard.service),
             shard,
             number: GrantNumber {
                 incarnation: cfg.incarnation,
@@ -75,8 +75,8 @@
             queue: WaitingQueue::default(),
             running: RunningTable::default(),
             demand: Demand::default(),
-            limits: Limits::default(),
-            credit: BTreeMap::new(),
+            limits: AccountLimits::default(),
+            minimum_credit: BTreeMap::new(),
         }
     }
 
@@ -84,7 +84,7 @@
 
     /// Takes a newer version of the rules.
     pub fn set_rules(&mut self, rules: Arc<RuleIndex>) {
-        self.plain = rules.is_plain(&self.shard.service);
+        self.is_plain = rules.is_plain(&self.shard.service);
         self.rules = rules;
     }
 
@@ -122,7 +122,7 @@
     /// Takes a lagging load report.
     pub fn apply_load_report(&mut self, report: &LoadReport, now: Instant) {
         if let Some(backend) = self.backends.get_mut(&report.backend) {
-            backend.model.report(report, now);
+            backend.model.apply_load_report(report, now);
         }
     }
 
@@ -135,7 +135,7 @@
             if let Some(backend) = self.backends.get_mut(&entry.backend) {
                 backend.model.adopt(now);
             }
-            self.limits.started(&entry.account);
+            self.limits.record_start(&entry.account);
             self.running.adopt(owner, entry, now);
         }
     }
@@ -143,7 +143,7 @@
     /// Ends the time for owners' reports early, since all have reported.
     pub fn end_rebuild(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         self.ready_at = self.ready_at.min(now);
-        self.pump(now, out);
+        self.grant_waiting(now, out);
     }
 
     /// Drops what a lost owner waited for. What it has running stays counted until
@@ -152,12 +152,12 @@
         for id in self.queue.of_owner(owner) {
             self.queue.remove(&id);
         }
-        self.running.owner_lost(owner, now);
+        self.running.mark_owner_lost(owner, now);
     }
 
     /// Counts on an owner again that was only unreachable.
     pub fn mark_owner_recovered(&mut self, owner: &HostId, now: Instant) {
-        self.running.owner_back(owner, now);
+        self.running.mark_owner_recovered(owner, now);
     }
 
     // ------------------------------------------------------------------ requests
@@ -167,31 +167,25 @@
     /// A repeated ask with a greater number replaces the earlier one, whose grant the
     /// owner will not use; one with the same number or a smaller one was duplicated or
     /// overtaken on its way and changes nothing.
-    pub fn submit(
-        &mut self,
-        owner: &HostId,
-        ask: Ask,
-        now: Instant,
-        out: &mut Vec<OutgoingMessage>,
-    ) {
+    pub fn submit(&mut self, owner: &HostId, ask: Ask, now: Instant, out: &mut Vec<OutgoingMessage>,) {
         if self.is_stale(&ask) {
             return;
         }
         let id = ask.id.clone();
         self.queue.remove(&id);
         self.release(&id, now);
-        let waiting = self.waiting_ask(owner, ask, now);
-        if let Some(wait) = self.over_limit(&waiting.ask, now) {
+        let waiting = self.new_waiting(owner, ask, now);
+        if let Some(wait) = self.charge_limits(&waiting.ask, now) {
             let line = self.rules.limit(&waiting.ask.account);
             let line = line.map(|limit| limit.origin.line);
             return self.refuse_after(&waiting, Reason::OverLimit, wait, line, out);
         }
-        self.note_demand(&waiting, now);
+        self.record_arrival(&waiting, now);
         let share = self.rules.share(&waiting.ask.account);
         self.queue.push(waiting, share);
-        self.pump(now, out);
+        self.grant_waiting(now, out);
         if self.queue.get(&id).is_some() {
-            self.keep_or_refuse(&id, now, out);
+            self.queue_or_refuse(&id, now, out);
         }
     }
 
@@ -205,18 +199,18 @@
 
     /// A request that can't start now waits, unless it could only miss its deadline or
     /// the queue is full.
-    fn keep_or_refuse(&mut self, id: &RequestId, now: Instant, out: &mut Vec<OutgoingMessage>) {
+    fn queue_or_refuse(&mut self, id: &RequestId, now: Instant, out: &mut Vec<OutgoingMessage>) {
         let Some(waiting) = self.queue.get(id) else {
             return;
         };
-        if now >= self.ready_at && self.comes_too_late(waiting, now) {
+        if now >= self.ready_at && self.would_miss_deadline(waiting, now) {
             if let Some(waiting) = self.queue.remove(id) {
                 self.refuse(&waiting, Reason::TooLate, now, out);
             }
             return;
         }
         if self.queue.len() > self.max_waiting
-            && let Some(shed) = self.queue.shed()
+            && let Some(shed) = self.queue.pop_lowest_priority()
         {
             self.refuse(&shed, Reason::Shed, now, out);
         }
@@ -245,14 +239,14 @@
         now: Instant,
         out: &mut Vec<OutgoingMessage>,
     ) {
-        if !self.running.holds(id, number) {
+        if !self.running.has_grant(id, number) {
             return;
         }
         match progress {
-            SlotProgress::FirstToken { .. } => self.saw_first_token(id, now),
+            SlotProgress::FirstToken { .. } => self.record_first_token(id, now),
             SlotProgress::Returned => self.release(id, now),
             SlotProgress::NotReached => {
-                self.saw_loss(id, now);
+                self.record_loss(id, now);
                 self.release(id, now);
             }
             SlotProgress::Finished {
@@ -261,14 +255,14 @@
                 lost,
             } => {
                 if lost {
-                    self.saw_loss(id, now);
+                    self.record_loss(id, now);
                 } else {
-                    self.saw_end(id, tokens, after, now);
+                    self.record_end(id, tokens, after, now);
                 }
                 self.release(id, now);
             }
         }
-        self.pump(now, out);
+        self.grant_waiting(now, out);
     }
 
     /// Takes unused grants back, gives up on what is too late, and grants what is free.
@@ -279,7 +273,7 @@
                 self.refuse(&late, Reason::TooLate, now, out);
             }
         }
-        self.pump(now, out);
+        self.grant_waiting(now, out);
     }
 
     /// Requests that wait.
@@ -302,20 +296,20 @@
 
     // ------------------------------------------------------------------ inside
 
-    fn waiting_ask(&self, owner: &HostId, ask: Ask, now: Instant) -> WaitingAsk {
-        let answer_tokens = if self.plain { 0 } else { ask.max_tokens };
-        let mut waiting = WaitingAsk {
+    fn new_waiting(&self, owner: &HostId, ask: Ask, now: Instant) -> WaitingRequest {
+        let answer_tokens = if self.is_plain { 0 } else { ask.max_tokens };
+        let mut waiting = WaitingRequest {
             owner: owner.clone(),
             ask,
-            since: now,
+            queued_at: now,
             answer_tokens,
             latest_start: now,
         };
-        waiting.latest_start = now + self.slack(&waiting);
+        waiting.latest_start = now + self.time_to_latest_start(&waiting);
         waiting
     }
 
-    fn saw_first_token(&mut self, id: &RequestId, now: Instant) {
+    fn record_first_token(&mut self, id: &RequestId, now: Instant) {
         let Some(run) = self.running.get_mut(id) else {
             return;
         };
@@ -323,17 +317,17 @@
             return;
         }
         if let Some(backend) = self.backends.get_mut(&run.backend) {
-            backend.model.first_token(run.number.sequence, now);
-            run.area_at_first_token = backend.model.token_gaps.area_at(now);
+            backend.model.record_first_token(run.number.sequence, now);
+            run.stream_seconds_at_first_token = backend.model.token_gaps.stream_seconds_at(now);
         }
     }
 
-    fn saw_end(&mut self, id: &RequestId, tokens: u32, after: Duration, now: Instant) {
+    fn record_end(&mut self, id: &RequestId, tokens: u32, after: Duration, now: Instant) {
         let Some(run) = self.running.get(id) else {
             return;
         };
         self.demand
-            .served(now.saturating_duration_since(run.granted_at));
+            .record_hold_time(now.saturating_duration_since(run.granted_at));
         let (Some(backend), Some(first)) =
             (self.backends.get_mut(&run.backend), run.first_token_at)
         else {
@@ -343,21 +337,21 @@
         let streaming = now
             .saturating_duration_since(first)
             .saturating_sub(since_grant.saturating_sub(after));
-        let streams = (backend.model.token_gaps.area_at(now) - run.area_at_first_token)
+        let streams = (backend.model.token_gaps.stream_seconds_at(now) - run.stream_seconds_at_first_token)
             / now.saturating_duration_since(first).as_secs_f64().max(1e-3);
         let gaps = tokens.saturating_sub(1);
         backend
             .model
             .token_gaps
-            .saw(gaps, streaming.as_secs_f64(), streams);
+            .record_stream(gaps, streaming.as_secs_f64(), streams);
     }
 
-    fn saw_loss(&mut self, id: &RequestId, now: Instant) {
+    fn record_loss(&mut self, id: &RequestId, now: Instant) {
         let Some(run) = self.running.get(id) else {
             return;
         };
         if let Some(backend) = self.backends.get_mut(&run.backend) {
-            backend.model.lost(now);
+            backend.model.record_loss(now);
             backend.prefixes.clear();
         }
     }
@@ -366,9 +360,9 @@
         let Some(run) = self.running.remove(id) else {
             return;
         };
-        self.limits.ended(&run.account);
+        self.limits.record_end(&run.account);
         if let Some(backend) = self.backends.get_mut(&run.backend) {
-            backend.model.end(run.number.sequence, now);
+            backend.model.record_end(run.number.sequence, now);
         }
     }
 
@@ -381,8 +375,8 @@
     fn check_running(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         while let Some(due) = self.running.pop_due(now) {
             match due {
-                running::Due::Free(id) => self.release(&id, now),
-                running::Due::Confirm { owner, id, number } => {
+                running::DueCheck::Free(id) => self.release(&id, now),
+                running::DueCheck::Confirm { owner, id, number } => {
                     let shard = self.shard.clone();
                     let confirm = Message::Confirm { shard, id, number };
                     out.push((owner, confirm));
--- a/crates/jaypin_core/src/scheduler/report.rs
+++ b/crates/jaypin_core/src/scheduler/report.rs
@@ -41,7 +41,7 @@
     /// It is leaving.
     Leaving,
     /// It broke off calls and rests.
-    Resting,
+    CoolingDown,
     /// A first token is long overdue.
     Overdue,
 }
@@ -53,7 +53,7 @@
         match self {
             Self::Live => "live",
             Self::Leaving => "leaving",
-            Self::Resting => "resting",
+            Self::CoolingDown => "resting",
             Self::Overdue => "overdue",
         }
     }
@@ -84,8 +84,8 @@
     let model = &backend.model;
     let state = if model.presence == Presence::Leaving || model.is_leaving() {
         BackendState::Leaving
-    } else if !model.takes_work(now) {
-        BackendState::Resting
+    } else if !model.accepts_work(now) {
+        BackendState::CoolingDown
     } else if model.is_overdue(now) {
         BackendState::Overdue
     } else {
--- a/crates/jaypin_core/src/scheduler/running.rs
+++ b/crates/jaypin_core/src/scheduler/running.rs
@@ -6,15 +6,15 @@
 use crate::{AccountId, BackendId, GrantNumber, HostId, InFlight, RequestId};
 
 /// Time after a grant without a first token until its owner is asked for it.
-const UNUSED_BOUND: Duration = Duration::from_secs(5);
+const UNUSED_GRANT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between two such questions.
-const CONFIRM_PAUSE: Duration = Duration::from_secs(15);
+const CONFIRM_INTERVAL: Duration = Duration::from_secs(15);
 /// Time that backend servers get, at least, to end what a lost owner had running.
-const LOST_OWNER_HOLD: Duration = Duration::from_secs(2);
+const LOST_OWNER_GRACE: Duration = Duration::from_secs(2);
 
 /// A grant in use.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningGrant {
     /// Its number.
     pub number: GrantNumber,
     /// The ask it answered.
@@ -34,14 +34,14 @@
     /// When its first token came.
     pub first_token_at: Option<Instant>,
     /// Streams times seconds of its backend server at its first token.
-    pub area_at_first_token: f64,
+    pub stream_seconds_at_first_token: f64,
     /// When to look after it.
     pub check_at: Instant,
 }
 
 /// What is to be done about a grant that nothing was heard of for long.
 #[derive(Debug)]
-pub enum Due {
+pub enum DueCheck {
     /// Its owner is lost and the backend server had time to end it.
     Free(RequestId),
     /// Its owner is to be asked.
@@ -58,7 +58,7 @@
 /// All grants in use.
 #[derive(Debug, Default)]
 pub struct RunningTable {
-    by_id: HashMap<RequestId, Running>,
+    by_id: HashMap<RequestId, RunningGrant>,
     checks: BTreeSet<(Instant, RequestId)>,
     by_tier: BTreeMap<u8, u32>,
     lost_owners: BTreeSet<HostId>,
@@ -68,8 +68,8 @@
     // ------------------------------------------------------------------ changes
 
     /// Adds a grant.
-    pub fn insert(&mut self, id: RequestId, mut run: Running) {
-        run.check_at = run.granted_at + UNUSED_BOUND;
+    pub fn insert(&mut self, id: RequestId, mut run: RunningGrant) {
+        run.check_at = run.granted_at + UNUSED_GRANT_TIMEOUT;
         self.checks.insert((run.check_at, id.clone()));
         *self.by_tier.entry(run.tier).or_default() += 1;
         self.by_id.insert(id, run);
@@ -77,7 +77,7 @@
 
     /// Adds what an owner has running from before this scheduler's time.
     pub fn adopt(&mut self, owner: &HostId, entry: InFlight, now: Instant) {
-        let run = Running {
+        let run = RunningGrant {
             number: entry.number,
             attempt: 0,
             owner: owner.clone(),
@@ -87,14 +87,14 @@
             granted_at: now,
             expected_end: now,
             first_token_at: None,
-            area_at_first_token: 0.0,
+            stream_seconds_at_first_token: 0.0,
             check_at: now,
         };
         self.insert(entry.id, run);
     }
 
     /// Takes a grant out.
-    pub fn remove(&mut self, id: &RequestId) -> Option<Running> {
+    pub fn remove(&mut self, id: &RequestId) -> Option<RunningGrant> {
         let run = self.by_id.remove(id)?;
         self.checks.remove(&(run.check_at, id.clone()));
         if let Some(count) = self.by_tier.get_mut(&run.tier) {
@@ -104,20 +104,20 @@
     }
 
     /// Marks an owner as lost: its grants are freed once they must have ended.
-    pub fn owner_lost(&mut self, owner: &HostId, now: Instant) {
+    pub fn mark_owner_lost(&mut self, owner: &HostId, now: Instant) {
         self.lost_owners.insert(owner.clone());
-        let hold = now + LOST_OWNER_HOLD;
-        self.reschedule(owner, |run| run.expected_end.max(hold));
+        let earliest = now + LOST_OWNER_GRACE;
+        self.reschedule(owner, |run| run.expected_end.max(earliest));
     }
 
     /// Marks an owner as reachable again: its grants are confirmed.
-    pub fn owner_back(&mut self, owner: &HostId, now: Instant) {
+    pub fn mark_owner_recovered(&mut self, owner: &HostId, now: Instant) {
         if self.lost_owners.remove(owner) {
             self.reschedule(owner, |_| now);
         }
     }
 
-    fn reschedule(&mut self, owner: &HostId, at: impl Fn(&Running) -> Instant) {
+    fn reschedule(&mut self, owner: &HostId, at: impl Fn(&RunningGrant) -> Instant) {
         let of_owner = self.by_id.iter_mut().filter(|(_, run)| run.owner == *owner);
         for (id, run) in of_owner {
             self.checks.remove(&(run.check_at, id.clone()));
@@ -127,25 +127,25 @@
     }
 
     /// Takes the next grant that is to be looked after.
-    pub fn pop_due(&mut self, now: Instant) -> Option<Due> {
+    pub fn pop_due(&mut self, now: Instant) -> Option<DueCheck> {
         while self.checks.first()?.0 <= now {
             let (_, id) = self.checks.pop_first()?;
             let Some(run) = self.by_id.get_mut(&id) else {
                 continue;
             };
             if self.lost_owners.contains(&run.owner) {
-                return Some(Due::Free(id));
+                return Some(DueCheck::Free(id));
             }
-            let streams = run.first_token_at.is_some();
-            let overdue = !streams || now >= run.expected_end;
-            run.check_at = now + CONFIRM_PAUSE;
-            if streams && !overdue {
-                run.check_at = run.expected_end + UNUSED_BOUND;
+            let has_first_token = run.first_token_at.is_some();
+            let overdue = !has_first_token || now >= run.expected_end;
+            run.check_at = now + CONFIRM_INTERVAL;
+            if has_first_token && !overdue {
+                run.check_at = run.expected_end + UNUSED_GRANT_TIMEOUT;
             }
             self.checks.insert((run.check_at, id.clone()));
             if overdue {
                 let (owner, number) = (run.owner.clone(), run.number);
-                return Some(Due::Confirm { owner, id, number });
+                return Some(DueCheck::Confirm { owner, id, number });
             }
         }
         None
@@ -167,7 +167,7 @@
 
     /// Whether a request runs on the grant of that number.
     #[must_use]
-    pub fn holds(&self, id: &RequestId, number: GrantNumber) -> bool {
+    pub fn has_grant(&self, id: &RequestId, number: GrantNumber) -> bool {
         self.by_id.get(id).is_some_and(|run| run.number == number)
     }
 
@@ -179,12 +179,12 @@
 
     /// Finds a grant.
     #[must_use]
-    pub fn get(&self, id: &RequestId) -> Option<&Running> {
+    pub fn get(&self, id: &RequestId) -> Option<&RunningGrant> {
         self.by_id.get(id)
     }
 
     /// Finds a grant to change it; its tier and check time stay.
-    pub fn get_mut(&mut self, id: &RequestId) -> Option<&mut Running> {
+    pub fn get_mut(&mut self, id: &RequestId) -> Option<&mut RunningGrant> {
         self.by_id.get_mut(id)
     }
 
--- a/crates/jaypin_core/src/shard.rs
+++ b/crates/jaypin_core/src/shard.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct ShardMap {
     members: BTreeMap<Shard, Vec<BackendId>>,
-    of_backend: BTreeMap<BackendId, Shard>,
+    shard_of_backend: BTreeMap<BackendId, Shard>,
 }
 
 impl ShardMap {
@@ -54,23 +54,23 @@
 
     fn spread(&mut self, service: &ServiceId, ids: &[&BackendId], size: usize) {
         let count = ids.len().div_ceil(size);
-        let room = ids.len().div_ceil(count.max(1));
+        let capacity = ids.len().div_ceil(count.max(1));
         let names: Vec<String> = (0..count).map(|index| index.to_string()).collect();
-        let mut taken = vec![0; count];
+        let mut filled = vec![0; count];
         for id in ids {
             let ranked = rank_by_score(id, names.iter().map(String::as_str));
             let free = ranked
                 .into_iter()
                 .filter_map(|name| name.parse::<usize>().ok())
-                .find(|index| taken[*index] < room)
+                .find(|index| filled[*index] < capacity)
                 .unwrap_or_default();
-            taken[free] += 1;
+            filled[free] += 1;
             let index = u16::try_from(free).unwrap_or(u16::MAX);
             let shard = Shard {
                 service: service.clone(),
                 index,
             };
-            self.of_backend.insert((*id).clone(), shard.clone());
+            self.shard_of_backend.insert((*id).clone(), shard.clone());
             self.members.entry(shard).or_default().push((*id).clone());
         }
     }
@@ -102,6 +102,6 @@
     /// The shard of a backend server.
     #[must_use]
     pub fn shard_of(&self, backend: &str) -> Option<&Shard> {
-        self.of_backend.get(backend)
+        self.shard_of_backend.get(backend)
     }
 }
--- a/crates/jaypin_core/src/shard_hints.rs
+++ b/crates/jaypin_core/src/shard_hints.rs
@@ -6,41 +6,42 @@
 use crate::Shard;
 
 /// Hints kept before old ones are dropped.
-const KEPT: usize = 1_024;
+const MAX_HINTS: usize = 1_024;
 
 /// Waits by shard and tier, as shard schedulers' answers carried them.
 #[derive(Debug, Default)]
 pub struct ShardHints {
-    heard: HashMap<(Shard, u8), Hint>,
+    hints: HashMap<(Shard, u8), Hint>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Hint {
     wait: Duration,
-    at: Instant,
+    received_at: Instant,
 }
 
 impl ShardHints {
     /// Takes a wait that an answer carried.
     pub fn record_wait(&mut self, shard: &Shard, tier: u8, wait: Duration, now: Instant) {
-        self.heard
-            .insert((shard.clone(), tier), Hint { wait, at: now });
-        if self.heard.len() > KEPT {
-            self.heard.retain(|_, hint| !hint.left(now).is_zero());
+        self.hints
+            .insert((shard.clone(), tier), Hint { wait,
+                received_at: now, },);
+        if self.hints.len() > MAX_HINTS {
+            self.hints.retain(|_, hint| !hint.remaining(now).is_zero());
         }
     }
 
     /// The wait to be expected; what was heard shrinks as time passes.
     #[must_use]
     pub fn wait(&self, shard: &Shard, tier: u8, now: Instant) -> Duration {
-        let hint = self.heard.get(&(shard.clone(), tier));
-        hint.map_or(Duration::ZERO, |hint| hint.left(now))
+        let hint = self.hints.get(&(shard.clone(), tier));
+        hint.map_or(Duration::ZERO, |hint| hint.remaining(now))
     }
 }
 
 impl Hint {
-    fn left(self, now: Instant) -> Duration {
+    fn remaining(self, now: Instant) -> Duration {
         self.wait
-            .saturating_sub(now.saturating_duration_since(self.at))
+            .saturating_sub(now.saturating_duration_since(self.received_at))
     }
 }
