--- a/crates/jaypin_core/src/allowance.rs
+++ b/crates/jaypin_core/src/allowance.rs
@@ -1,18 +1,18 @@
-//! What one shard may use of a client account's limits.
+//! The share of a client account's limits that one shard may use.
 
 use jaypin_rules::LimitRule;
 
-/// Part of an account's limits.
+/// A share of an account's limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// Estimated tokens a second.
+    /// Estimated tokens per second, prompts and answers together.
     pub tokens_per_second: f64,
-    /// Requests running at once.
+    /// Requests running at the same time.
     pub at_once: f64,
 }
 
 impl Allowance {
-    /// Everything that a rule allows.
+    /// Returns the full limits of a rule; a limit that the rule doesn't set is `f64::MAX`.
     #[must_use]
     pub fn all_of(rule: &LimitRule) -> Self {
         Self {
--- a/crates/jaypin_core/src/backend_model.rs
+++ b/crates/jaypin_core/src/backend_model.rs
@@ -1,7 +1,8 @@
-//! What a shard scheduler has learned of one backend server.
+//! What a shard scheduler has learned about one backend server.
 //!
-//! Speeds come from the timings that owners saw. Lagging load reports only correct:
-//! they can take a backend server out of service or add load that others caused.
+//! Speeds come from the timings that owners measure. Load reports lag, so they only
+//! correct: they can take a backend server out of service or add load that other clients
+//! cause.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -9,46 +10,48 @@
 use crate::token_gaps::TokenGapModel;
 use crate::{LoadReport, Presence};
 
-/// Prefill speed that is assumed before anything was seen, in tokens a second.
+/// Initial estimate of the prefill rate, in tokens per second.
 ///
-/// A high guess costs one late answer; a low one refuses work that would have fitted.
+/// Too high an estimate costs one late answer; too low an estimate refuses work that would
+/// have fitted.
 const INITIAL_PREFILL_RATE: f64 = 10_000.0;
-/// Weight of the first guess, in tokens.
+/// Weight of the initial estimate, in tokens.
 const INITIAL_WEIGHT_TOKENS: f64 = 200.0;
-/// Tokens after which an observation of the prefill speed has lost most of its weight.
+/// Prefilled tokens after which the weight of an observed prefill rate has decayed to 1/e.
 const PREFILL_DECAY_TOKENS: f64 = 4_000.0;
-/// Seconds after which an observation of the prefill speed has lost most of its weight.
+/// Seconds of prefill after which the weight of an observed prefill rate has decayed to
+/// 1/e.
 const PREFILL_DECAY_SECONDS: f64 = 1.0;
-/// Part of a first token's time that is not prefill, in seconds.
+/// Part of the time to the first token that is not prefill, in seconds.
 const CALL_OVERHEAD_SECONDS: f64 = 0.003;
-/// A first token this many times later than expected is overdue.
+/// Factor on the expected time from which a first token is overdue.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// Lateness in seconds below which no first token counts as overdue.
+/// Seconds added to the overdue threshold, so that short prefills are not overdue at once.
 const OVERDUE_MARGIN_SECONDS: f64 = 0.25;
-/// Streams that a backend server without history may run.
+/// Maximum number of streams on a backend server without history.
 const SLOW_START_LIMIT: u32 = 4;
-/// Streams by which a careful limit grows with each first token.
+/// Streams by which the slow-start limit rises with each first token.
 const SLOW_START_STEP: u32 = 2;
-/// Streams up to which a careful limit grows before the pace is known: first tokens come
-/// faster than streams end, and tell nothing of the gap.
+/// Streams up to which the slow-start limit rises before the time between tokens is known.
+/// First tokens arrive faster than streams end, and they say nothing about the gap.
 const UNSAMPLED_LIMIT: u32 = 6;
-/// Rest after the first lost call; doubled with each further one.
+/// Cooldown after the first lost call; it doubles with each further one.
 const INITIAL_COOLDOWN: Duration = Duration::from_secs(1);
-/// Doublings of the rest, at most.
+/// Maximum number of times that the cooldown is doubled.
 const MAX_COOLDOWN_DOUBLINGS: u32 = 5;
-/// Pause between two probes of a backend server that is too slow for its work.
+/// Time between two probes of a backend server that is too slow for its work.
 const PROBE_INTERVAL: Duration = Duration::from_secs(5);
-/// Load reports whose peaks are remembered.
+/// Maximum number of load report intervals whose peaks are kept.
 const MAX_PEAKS: usize = 64;
 
-/// Speeds, load and presence of one backend server.
+/// Learned speeds, load and presence of one backend server.
 #[derive(Debug, Clone)]
 pub struct BackendModel {
-    /// Requests it may run at once, as the host list states it.
+    /// Requests it may run at once, according to the host list.
     pub slots: u32,
     /// Requests that were granted and have not ended.
     pub running: u32,
-    /// Whether it takes work.
+    /// Whether the host list offers it for new work.
     pub presence: Presence,
     /// Learned time between tokens.
     pub token_gaps: TokenGapModel,
@@ -66,7 +69,7 @@
     last_grant_at: Option<Instant>,
 }
 
-/// A prompt whose first token has not come.
+/// A granted prompt whose first token has not arrived.
 #[derive(Debug, Clone, Copy)]
 struct PendingPrefill {
     tokens: u32,
@@ -74,7 +77,7 @@
 }
 
 impl BackendModel {
-    /// Starts with guesses and the stated number of slots.
+    /// Creates a model with initial estimates and the configured number of slots.
     #[must_use]
     pub fn new(slots: u32, presence: Presence) -> Self {
         Self {
@@ -97,15 +100,16 @@
         }
     }
 
-    // ------------------------------------------------------------------ estimates
-
-    /// Requests it may run at once while every stream keeps a gap, in seconds.
+    /// Returns how many requests may run at once while every stream keeps to `gap` seconds.
     #[must_use]
     pub fn limit(&self, gap: f64) -> u32 {
-        self.slots.min(self.slow_start_limit).min(self.token_gaps.max_streams(gap))
+        self.slots
+            .min(self.slow_start_limit)
+            .min(self.token_gaps.max_streams(gap))
     }
 
-    /// Whether it takes new work at all.
+    /// Returns whether it may be given new work: it is live, not leaving, and not in a
+    /// cooldown.
     #[must_use]
     pub fn accepts_work(&self, now: Instant) -> bool {
         self.presence == Presence::Live
@@ -113,23 +117,24 @@
             && self.cooldown_until.is_none_or(|until| now >= until)
     }
 
-    /// Whether it says of itself that it is leaving.
+    /// Returns whether its last load report said that it is leaving.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.reported_leaving
     }
 
-    /// Requests that may start now while every stream keeps a gap.
+    /// Returns how many requests may start now while every stream keeps to `gap` seconds.
     #[must_use]
     pub fn free_slots(&self, gap: f64, now: Instant) -> u32 {
         if !self.accepts_work(now) || self.is_overdue(now) {
             return 0;
         }
-        self.limit(gap).saturating_sub(self.running + self.external_load)
+        self.limit(gap)
+            .saturating_sub(self.running + self.external_load)
     }
 
-    /// Whether it is idle and nothing was learned of it for long, so that a request may
-    /// find out whether it still is as slow as it was.
+    /// Returns whether it is idle and had no grant for the probe interval, so that one
+    /// request may check whether it is still too slow.
     #[must_use]
     pub fn is_probe_due(&self, now: Instant) -> bool {
         self.running == 0
@@ -139,19 +144,19 @@
                 .is_none_or(|at| now.saturating_duration_since(at) >= PROBE_INTERVAL)
     }
 
-    /// Learned prefill speed in tokens a second.
+    /// Returns the learned prefill rate in tokens per second.
     #[must_use]
     pub fn prefill_rate(&self) -> f64 {
         self.prefill_tokens / self.prefill_seconds.max(1e-6)
     }
 
-    /// Seconds that a prefill takes by itself.
+    /// Returns the estimated time of a prefill without queueing, in seconds.
     #[must_use]
     pub fn estimated_prefill(&self, tokens: u32) -> f64 {
         CALL_OVERHEAD_SECONDS + f64::from(tokens) / self.prefill_rate()
     }
 
-    /// Seconds until the prefills granted so far are done.
+    /// Returns the estimated time until all granted prefills are done, in seconds.
     #[must_use]
     pub fn prefill_backlog(&self, now: Instant) -> f64 {
         let Some((elapsed, expected)) = self.oldest_prefill(now) else {
@@ -165,20 +170,20 @@
         if elapsed <= expected {
             return total - elapsed;
         }
-        // The first token is late: the rest is taken to be as slow.
+        // The first token is late, so the remaining prefills are assumed to be as slow.
         (total - expected) * (elapsed / expected).max(1.0)
     }
 
-    /// Whether a first token is overdue: the sign of a slow or silent backend server
-    /// that shows before any timing arrives.
+    /// Returns whether a first token is overdue. This detects a slow or unresponsive
+    /// backend server before any timing is available.
     #[must_use]
     pub fn is_overdue(&self, now: Instant) -> bool {
-        self.oldest_prefill(now)
-            .is_some_and(|(elapsed, expected)| { elapsed > OVERDUE_FACTOR * expected + OVERDUE_MARGIN_SECONDS
+        self.oldest_prefill(now).is_some_and(|(elapsed, expected)| {
+            elapsed > OVERDUE_FACTOR * expected + OVERDUE_MARGIN_SECONDS
         })
     }
 
-    /// Seconds that the oldest pending prefill has taken, and should take.
+    /// Returns the elapsed and the expected time of the oldest pending prefill, in seconds.
     fn oldest_prefill(&self, now: Instant) -> Option<(f64, f64)> {
         let first = self.pending_prefills.values().next()?;
         let since = self.prefill_start(first.granted_at);
@@ -186,27 +191,30 @@
         Some((elapsed, self.estimated_prefill(first.tokens)))
     }
 
-    /// When the prefill of a request granted at `at` got its turn.
+    /// Returns when the prefill of a request granted at `at` started: backend servers are
+    /// assumed to run prefills one after the other.
     fn prefill_start(&self, at: Instant) -> Instant {
         self.last_first_token.map_or(at, |last| last.max(at))
     }
 
-    // ------------------------------------------------------------------ requests
-
-    /// Counts a granted request; `tokens` are to be prefilled.
+    /// Records a granted request with `tokens` to prefill.
     pub fn record_grant(&mut self, sequence: u64, tokens: u32, now: Instant) {
         self.last_grant_at = Some(now);
         self.running += 1;
         self.token_gaps.set_running(self.running, now);
         self.current_peak = self.current_peak.max(self.running);
         if tokens > 0 {
-            self.pending_prefills.insert(sequence,
-                PendingPrefill { tokens,
-                    granted_at: now, },);
+            self.pending_prefills.insert(
+                sequence,
+                PendingPrefill {
+                    tokens,
+                    granted_at: now,
+                },
+            );
         }
     }
 
-    /// Counts a request that was running before this scheduler's time.
+    /// Records a request that was already running when this scheduler started.
     pub fn adopt(&mut self, now: Instant) {
         self.running += 1;
         self.token_gaps.set_running(self.running, now);
@@ -214,10 +222,14 @@
         self.slow_start_limit = self.slow_start_limit.max(self.running + SLOW_START_STEP);
     }
 
-    /// Learns from a first token.
+    /// Records a first token, updates the prefill rate from it, and raises the slow-start
+    /// limit.
     pub fn record_first_token(&mut self, sequence: u64, now: Instant) {
         if self.slow_start_limit < UNSAMPLED_LIMIT || self.token_gaps.has_enough_samples() {
-            self.slow_start_limit = self.slow_start_limit.saturating_add(SLOW_START_STEP).min(self.slots);
+            self.slow_start_limit = self
+                .slow_start_limit
+                .saturating_add(SLOW_START_STEP)
+                .min(self.slots);
         }
         self.consecutive_losses = 0;
         let Some(pending) = self.pending_prefills.remove(&sequence) else {
@@ -234,17 +246,18 @@
         self.prefill_seconds = self.prefill_seconds * decay + seconds;
     }
 
-    /// Counts the end of a request.
+    /// Records the end of a request.
     pub fn record_end(&mut self, sequence: u64, now: Instant) {
         self.running = self.running.saturating_sub(1);
         self.token_gaps.set_running(self.running, now);
         self.pending_prefills.remove(&sequence);
     }
 
-    /// Backs off after a call that was lost or could not be opened.
+    /// Starts a cooldown after a call that was lost or whose connection was refused.
     ///
-    /// A backend server that dies again and again would otherwise draw work by being
-    /// empty. It is tried again with one request after a rest that doubles.
+    /// A backend server that crashes repeatedly would otherwise attract work because it is
+    /// empty. After the cooldown, which doubles each time, it starts again with a single
+    /// request.
     pub fn record_loss(&mut self, now: Instant) {
         if self.cooldown_until.is_some_and(|until| now < until) {
             return;
@@ -256,8 +269,9 @@
         self.cooldown_until = Some(now + cooldown);
     }
 
-    /// Takes a lagging report: load that this scheduler did not cause is counted, and
-    /// nothing else of the figures is believed.
+    /// Applies a lagging load report: load beyond this scheduler's own grants is counted as
+    /// external, and a backend server that reports to be leaving gets no more work. All
+    /// other figures are ignored.
     pub fn apply_load_report(&mut self, report: &LoadReport, now: Instant) {
         self.reported_leaving = report.leaving;
         self.peaks.push_back((now, self.current_peak));
--- a/crates/jaypin_core/src/baseline.rs
+++ b/crates/jaypin_core/src/baseline.rs
@@ -1,4 +1,5 @@
-//! The baseline: each host on its own, two random choices over lagging load reports.
+//! The baseline policy for comparison: each host on its own picks the better of two random
+//! backend servers by lagging load reports.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +8,21 @@
 
 use crate::{BackendId, BackendRecord, LoadReport, Presence};
 
-/// What a host alone knows of the backend servers.
+/// The last reported load of each backend server, in requests running or waiting.
 #[derive(Debug, Default)]
 pub struct Baseline {
     load: BTreeMap<BackendId, u32>,
 }
 
 impl Baseline {
-    /// Takes a lagging load report.
+    /// Records a load report, which lags behind the actual load.
     pub fn apply_load_report(&mut self, report: &LoadReport) {
         self.load
             .insert(report.backend.clone(), report.running + report.waiting);
     }
 
-    /// Picks the less loaded of two random backend servers.
+    /// Picks the less loaded of two randomly chosen live backend servers; `None` when there
+    /// is none.
     pub fn pick<'a>(
         &self,
         backends: impl Iterator<Item = &'a BackendRecord>,
--- a/crates/jaypin_core/src/ids.rs
+++ b/crates/jaypin_core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Aliases for the ids that travel through events, messages and effects.
+//! Type aliases for the ids in events, messages and effects.
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
 pub type ServiceId = Arc<str>;
 /// Name of a client account, as in the rule file.
 pub type AccountId = Arc<str>;
-/// Name of a failure domain, as in settings and host list.
+/// Name of a failure domain, as in the settings and the host list.
 pub type FailureDomain = Arc<str>;
-/// Id of a request, unique in the fleet: host, incarnation and a count.
+/// Id of a request, unique in the fleet; it consists of host, incarnation and a counter.
 pub type RequestId = Arc<str>;
-/// Number of one run of a host's process; a later run has a greater one.
+/// Number of one run of a host's process; a later run has a greater number.
 pub type Incarnation = u64;
--- a/crates/jaypin_core/src/lib.rs
+++ b/crates/jaypin_core/src/lib.rs
@@ -1,9 +1,8 @@
-//! The decisions of jaypin: one reducer from events to effects, free of I/O.
+//! Request scheduling of jaypin: one reducer that turns events into effects, without I/O.
 //!
-//! [`Reducer::apply`] is the only owner of decision state. It does no I/O, reads no
-//! clock and draws random numbers from a seed in its state, so the same events give
-//! the same effects: that is what makes each routing decision explainable, replayable
-//! and testable.
+//! [`Reducer::apply`] is the only owner of decision state. It does no I/O, reads no clock,
+//! and draws random numbers from a seed in its state, so the same events always give the
+//! same effects. This makes every routing decision explainable, replayable and testable.
 
 mod allowance;
 mod backend_model;
@@ -44,9 +43,8 @@
 pub use host_list::{BackendRecord, HostList, HostRecord, Presence};
 pub use ids::{AccountId, BackendId, FailureDomain, HostId, Incarnation, RequestId, ServiceId};
 pub use keys::{
-    ClaimSubject, ClaimVerdict, IdempotencyKey, KEY_PERIOD, KeyOutcome, KeyTable, MAX_KEYS,
-    MAX_KEYS_PER_ACCOUNT, MAX_STORED_ANSWER_BYTES, MAX_TOTAL_STORED_BYTES, RETAINED_KEY_PERIODS,
-    StoredAnswer,
+    ClaimSubject, ClaimVerdict, IdempotencyKey, KEY_PERIOD, KeyOutcome, KeyTable,
+    MAX_KEYS, MAX_KEYS_PER_ACCOUNT, MAX_STORED_ANSWER_BYTES, MAX_TOTAL_STORED_BYTES, RETAINED_KEY_PERIODS, StoredAnswer,
 };
 pub use member::{Member, MemberStatus, MemberTable};
 pub use membership::Membership;
--- a/crates/jaypin_core/src/outcome.rs
+++ b/crates/jaypin_core/src/outcome.rs
@@ -1,20 +1,20 @@
-//! The words that answer a request which did not succeed.
+//! The refusals of requests that did not succeed, and their reasons.
 
 use std::time::Duration;
 
 /// Whether a request that did not succeed was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ran {
-    /// No byte of it left for a backend server.
+    /// No byte of it was sent to a backend server.
     NotRun,
-    /// It ran; the answer could not be given whole.
+    /// It ran; the complete response could not be delivered.
     Ran,
-    /// It left for a backend server and what became of it is not known.
+    /// It was sent to a backend server, and whether it ran is not known.
     Unknown,
 }
 
 impl Ran {
-    /// The word that callers see.
+    /// Returns the value that is sent to callers.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -34,36 +34,37 @@
     NotReady,
     /// The host can't prove that its configuration is the newest.
     Unproven,
-    /// No live backend server serves it.
+    /// No live backend server offers the service.
     NoBackend,
-    /// Capacity ran out and its tier was the lowest that waited.
+    /// Capacity ran out, and the request's tier was the lowest one waiting.
     Shed,
-    /// It could not be answered within its tier's deadline.
+    /// The request could not be answered within its tier's deadline.
     TooLate,
-    /// No shard scheduler answered in time.
+    /// No shard scheduler replied in time.
     NoScheduler,
-    /// The client account is over a limit.
+    /// The client account exceeds one of its limits.
     OverLimit,
-    /// The content is quarantined because backend servers died under it.
+    /// The content is quarantined because backend servers crashed while running it.
     Quarantined,
-    /// The key was already used, and the call is running.
+    /// A call with the same idempotency key is still running.
     InFlight,
-    /// The key's outcome is not known, or not known any more.
+    /// The outcome of the idempotency key's call is unknown or no longer stored.
     KeyUnknown,
-    /// The key was used for another call.
+    /// The idempotency key was used for a different call.
     KeyMismatch,
-    /// The host that owns the key has no room for another.
+    /// The host that owns the idempotency key has no room for another one.
     KeyTableFull,
-    /// The key's call was answered before, and the answer is not kept.
+    /// The idempotency key's call was answered before, and the answer is not stored.
     AlreadyRan,
-    /// The backend server broke off.
+    /// The connection to the backend server broke or stalled before the end of the
+    /// response.
     BackendLost,
-    /// The backend server answered with an error.
+    /// The backend server responded with an error.
     BackendFailed,
 }
 
 impl Reason {
-    /// The word that callers and logs see.
+    /// Returns the value that is sent to callers and written to logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -87,21 +88,21 @@
     }
 }
 
-/// The final answer to a request that is given up on.
+/// The final answer to a request that did not succeed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused.
     pub reason: Reason,
-    /// Whether it ran.
+    /// Whether the request was run.
     pub ran: Ran,
-    /// When to come back, where coming back helps.
+    /// Time after which a retry may succeed; `None` when a retry would not help.
     pub retry_after: Option<Duration>,
-    /// Line of the rule that decided, where one did.
+    /// Line of the rule that led to the refusal, if any.
     pub rule_line: Option<u32>,
 }
 
 impl Refusal {
-    /// Refuses a request that was not run.
+    /// Creates a refusal of a request that was not run.
     #[must_use]
     pub fn not_run(reason: Reason) -> Self {
         Self {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Ends a request that was dispatched, with what is known of it.
+    /// Creates a refusal of a request that was dispatched; `ran` states whether it was run.
     #[must_use]
     pub fn after_dispatch(reason: Reason, ran: Ran) -> Self {
         Self {
@@ -123,14 +124,14 @@
         }
     }
 
-    /// Says when to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
     pub fn retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// Names the rule that decided.
+    /// Sets the line of the rule that led to the refusal.
     #[must_use]
     pub fn rule_line(mut self, line: u32) -> Self {
         self.rule_line = Some(line);
--- a/crates/jaypin_core/src/owner.rs
+++ b/crates/jaypin_core/src/owner.rs
@@ -1,27 +1,28 @@
-//! The requests that this host accepted, by state.
+//! The table of requests that this host accepted, by state.
 
 use std::collections::BTreeMap;
 
 use crate::request::{Dispatched, Request, Waiting};
 use crate::{InFlight, RequestId, Shard};
 
-/// The owner's table.
+/// The requests that this host accepted and that have no outcome yet.
 #[derive(Debug, Default)]
 pub struct OwnedRequests {
     /// Requests that wait for a grant.
     pub waiting: BTreeMap<RequestId, Request<Waiting>>,
-    /// Requests that were handed to a backend server.
+    /// Requests that were dispatched to a backend server.
     pub dispatched: BTreeMap<RequestId, Request<Dispatched>>,
 }
 
 impl OwnedRequests {
-    /// Whether nothing is left to do.
+    /// Returns whether no request waits or runs.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.dispatched.is_empty()
     }
 
-    /// What this host has running in a shard, for a new scheduler of it.
+    /// Returns the requests of this host that run on grants of a shard, for the shard's new
+    /// scheduler.
     #[must_use]
     pub fn in_flight(&self, shard: &Shard) -> Vec<InFlight> {
         self.dispatched
--- a/crates/jaypin_core/src/prefix_index.rs
+++ b/crates/jaypin_core/src/prefix_index.rs
@@ -1,20 +1,21 @@
-//! Which prompt prefixes a backend server is believed to hold.
+//! The prompt prefixes that a backend server is assumed to have in its cache.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Tokens that a cache is assumed to take in before it evicts what was not used since.
+/// Tokens that a backend server's cache is assumed to ingest before it evicts entries that
+/// were not used since.
 ///
-/// Engines don't state their memory. Too small a guess gives away prefill that was
-/// cached; too large a one sends requests after prefixes that are gone.
+/// Inference engines don't report their cache size. Too small a value forgoes prefill that
+/// is cached; too large a value directs requests to prefixes that were already evicted.
 const ASSUMED_CACHE_TOKENS: u64 = 14_000;
 /// Tokens of the shortest prefix that is fingerprinted.
 const SHORTEST_PREFIX_TOKENS: u32 = 64;
 
-/// Tokens of the prefix behind the fingerprint at a place, shortest first: 64, 96, 128,
-/// 192, 256, 384 and so on, two for each doubling.
+/// Returns the length in tokens of the prefix behind the fingerprint at an index, shortest
+/// first: 64, 96, 128, 192, 256, 384 and so on, two per doubling.
 ///
-/// Callers' prompts share beginnings of any length; coarser steps leave up to half of a
-/// shared beginning unseen, finer ones cost bytes in each ask.
+/// Callers' prompts share prefixes of any length. Coarser steps would miss up to half of a
+/// shared prefix; finer ones would cost bytes in each slot request.
 #[must_use]
 pub fn prefix_tokens(index: usize) -> u32 {
     let doublings = u32::try_from(index / 2).unwrap_or(u32::MAX).min(16);
@@ -26,11 +27,12 @@
     }
 }
 
-/// Prefixes that one backend server was given lately.
+/// The prefixes that one backend server was recently sent.
 ///
-/// It rests on grants alone; a cache event that never came costs a prefill, no wrong
-/// answer. Fingerprints are salted by client account, so none matches another's. Time is
-/// counted in tokens that the cache had to take in, which is what evicts.
+/// The index is built from grants alone; when a backend server drops a cache entry that the
+/// index still lists, the cost is a prefill and never a wrong answer. Fingerprints are
+/// salted by client account, so they never match across accounts. Age is measured in tokens
+/// that the cache had to ingest, because these cause evictions.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixIndex {
     last_uses: HashMap<u64, LastUse>,
@@ -39,7 +41,8 @@
     sequence: u64,
 }
 
-/// Last use of a prefix: tokens taken in by then, and a number that tells uses apart.
+/// The last use of a prefix: the tokens ingested by then, and a sequence number that makes
+/// each use unique.
 #[derive(Debug, Clone, Copy)]
 struct LastUse {
     admitted_tokens: u64,
@@ -47,7 +50,7 @@
 }
 
 impl PrefixIndex {
-    /// Tokens of a prompt that are believed to be cached.
+    /// Returns the number of leading prompt tokens that are assumed to be cached.
     #[must_use]
     pub fn cached_tokens(&self, prefixes: &[u64]) -> u32 {
         prefixes
@@ -56,7 +59,8 @@
             .map_or(0, prefix_tokens)
     }
 
-    /// Remembers the prefixes of a granted request, of which `uncached` tokens were new.
+    /// Records the prefixes of a granted request, of which `uncached` tokens were not
+    /// cached.
     pub fn insert(&mut self, prefixes: &[u64], uncached: u32) {
         self.admitted_tokens += u64::from(uncached);
         for prefix in prefixes {
@@ -87,7 +91,7 @@
         }
     }
 
-    /// Forgets all, as a backend server that died did.
+    /// Removes all prefixes, because the backend server lost its cache.
     pub fn clear(&mut self) {
         self.last_uses.clear();
         self.by_use.clear();
--- a/crates/jaypin_core/src/record.rs
+++ b/crates/jaypin_core/src/record.rs
@@ -1,4 +1,4 @@
-//! Steps of a decision, written down for explanations and the audit of decisions.
+//! Records of the steps of a decision, for explanations and for the audit log.
 
 use std::time::Duration;
 
@@ -6,20 +6,20 @@
     AccountId, BackendId, CallOutcome, Candidate, GrantNumber, HostId, Refusal, RequestId, Shard,
 };
 
-/// One step in the life of a request.
+/// One recorded step in the life of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Record {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its client account; nobody else's credentials show the record.
+    /// Client account of the request; the record is not shown to other accounts.
     pub account: AccountId,
     /// Time since the request arrived.
     pub after: Duration,
-    /// What happened.
+    /// The step that was taken.
     pub step: Step,
 }
 
-/// What happened in a step.
+/// A step in the life of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
     /// The request was accepted.
@@ -31,40 +31,40 @@
         /// Version of those rules.
         rules_version: u64,
     },
-    /// The owner of its idempotency key answered.
+    /// The host that owns its idempotency key replied to the claim.
     Claimed {
-        /// The answer in one word; a stored answer is not written down.
+        /// Short name of the reply; a stored answer is not recorded.
         verdict: &'static str,
     },
-    /// A shard scheduler was asked for a slot.
+    /// A slot was requested from a shard scheduler.
     Asked {
         /// The shard.
         shard: Shard,
-        /// The host that leads it.
+        /// The host that leads the shard.
         leader: HostId,
-        /// Number of the ask.
+        /// Number of the slot request, from 1.
         attempt: u32,
     },
-    /// It went to a backend server.
+    /// The request was dispatched to a backend server.
     Dispatched {
         /// The backend server.
         backend: BackendId,
-        /// The grant, if one was needed.
+        /// Number of the grant; `None` when none was needed.
         grant: Option<GrantNumber>,
-        /// What was weighed, the chosen one first.
+        /// The backend servers that were considered, the chosen one first.
         candidates: Vec<Candidate>,
     },
-    /// The backend server refused the connection; no byte left.
+    /// The backend server refused the connection; no byte was sent.
     NotReached,
-    /// The first token came.
+    /// The first token arrived.
     FirstToken,
     /// The call ended.
     Finished {
-        /// Tokens that came.
+        /// Number of tokens received.
         tokens: u32,
-        /// How it ended.
+        /// How the call ended.
         outcome: CallOutcome,
     },
-    /// It was refused.
+    /// The request was refused.
     Refused(Refusal),
 }
--- a/crates/jaypin_core/src/rendezvous.rs
+++ b/crates/jaypin_core/src/rendezvous.rs
@@ -2,19 +2,19 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Score of a candidate for a key; the greatest wins.
+/// Returns the score of a candidate for a key; the candidate with the greatest score wins.
 #[must_use]
 pub fn score(key: &str, candidate: &str) -> u64 {
     xxh3_64_with_seed(candidate.as_bytes(), xxh3_64_with_seed(key.as_bytes(), 0))
 }
 
-/// Score of a numbered candidate for a key; the greatest wins.
+/// Returns the score of a numbered candidate for a key; the greatest score wins.
 #[must_use]
 pub fn score_index(key: u64, index: u16) -> u64 {
     xxh3_64_with_seed(&index.to_le_bytes(), key)
 }
 
-/// Orders candidates by falling score for a key.
+/// Returns the candidates ordered by descending score for a key.
 #[must_use]
 pub fn rank_by_score<'a>(key: &str, candidates: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut ranked: Vec<_> = candidates.map(|name| (score(key, name), name)).collect();
--- a/crates/jaypin_core/src/request.rs
+++ b/crates/jaypin_core/src/request.rs
@@ -1,7 +1,7 @@
-//! A request on its owner, from arrival to outcome.
+//! A request on its owner (the host that accepted it), from arrival to outcome.
 //!
-//! The states are types: only [`Request<Granted>`] can be dispatched, and dispatching
-//! consumes it, so no path can send a request twice.
+//! Each state is a type: only [`Request<Granted>`] can be dispatched, and dispatching
+//! consumes it, so no code path can send a request twice.
 
 use std::time::{Duration, Instant};
 
@@ -10,119 +10,121 @@
 use crate::claims::HeldClaim;
 use crate::{AccountId, BackendId, GrantNumber, HostId, RequestId, ServiceId, Shard};
 
-/// What the decisions know of a request; its body stays with the frontend.
+/// The properties of a request that decisions depend on; the frontend keeps its body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// Id, unique in the fleet.
+    /// Id of the request, unique in the fleet.
     pub id: RequestId,
-    /// The account its credential belongs to.
+    /// The client account that the caller's credential belongs to.
     pub account: AccountId,
-    /// The service it asks for.
+    /// The requested service.
     pub service: ServiceId,
-    /// What that service's backend servers speak.
+    /// The protocol that the service's backend servers speak.
     pub kind: ServiceKind,
     /// Rank of its tier.
     pub tier: u8,
-    /// Estimated tokens of the prompt.
+    /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that the answer may have.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u32,
     /// Fingerprints of the prompt's prefixes, shortest first, salted by account.
     pub prefixes: Vec<u64>,
     /// Fingerprint of the whole content, salted by account.
     pub fingerprint: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// The caller's idempotency key.
+    /// The idempotency key that the caller sent, if any.
     pub key: Option<String>,
-    /// Time from arrival within which the first token is due.
+    /// Time from arrival until the first token is due.
     pub first_token_due_in: Duration,
-    /// Time from arrival within which the whole answer is due.
+    /// Time from arrival until the complete response is due.
     pub response_due_in: Duration,
-    /// Lines of the rules that applied when it was read.
+    /// Lines of the rules that applied when the request was read.
     pub rule_lines: Vec<u32>,
 }
 
 impl RequestInfo {
-    /// Takes time that went by off the deadlines.
+    /// Subtracts elapsed time from the time left until each deadline, down to zero.
     pub fn subtract_elapsed(&mut self, time: Duration) {
         self.first_token_due_in = self.first_token_due_in.saturating_sub(time);
         self.response_due_in = self.response_due_in.saturating_sub(time);
     }
 }
 
-/// State: waiting for the claim on its idempotency key.
+/// State of a request that waits for the claim on its idempotency key.
 #[derive(Debug)]
 pub struct Claiming {
-    /// The claim asked for.
+    /// The requested claim.
     pub claim: HeldClaim,
-    /// When it was last asked for.
+    /// When the claim was last requested.
     pub requested_at: Instant,
 }
 
-/// State: waiting for a shard scheduler's grant.
+/// State of a request that waits for a grant from a shard scheduler.
 #[derive(Debug)]
 pub struct Waiting {
-    /// The shard asked.
+    /// The shard whose scheduler was asked for a slot.
     pub shard: Shard,
-    /// The host that leads it, as this host sees it.
+    /// The host that leads the shard, according to this host's membership table.
     pub leader: HostId,
-    /// Number of the ask; answers to earlier asks are stale.
+    /// Number of the slot request, from 1; replies to earlier ones are stale.
     pub attempt: u32,
-    /// When it was asked.
+    /// When the slot was requested.
     pub requested_at: Instant,
-    /// Whether the shard scheduler said that the request is queued.
+    /// Whether the shard scheduler reported that the request is queued.
     pub queued: bool,
-    /// Whether a backend server refused the connection before.
+    /// Whether an earlier slot was lost because its backend server refused the connection.
     pub connection_refused: bool,
-    /// Shards that refused it for want of capacity.
+    /// Shards that refused the request because they had no capacity.
     pub refused_by: Vec<Shard>,
 }
 
-/// State: a slot was granted; nothing was sent yet.
+/// State of a request that has a slot and was not sent yet.
 #[derive(Debug)]
 pub struct Granted {
     slot: Slot,
     attempt: u32,
 }
 
-/// State: handed to the backend server.
+/// State of a request that was dispatched to its backend server.
 #[derive(Debug)]
 pub struct Dispatched {
-    /// Where it runs.
+    /// The slot it uses.
     pub slot: Slot,
-    /// Number of the ask that got the slot.
+    /// Number of the slot request that obtained the slot; 0 when the owner chose the slot
+    /// itself.
     pub attempt: u32,
-    /// When it was handed over.
+    /// When it was dispatched.
     pub sent_at: Instant,
-    /// When the first token came.
+    /// When the first token arrived; `None` before.
     pub first_token_at: Option<Instant>,
-    /// Whether a byte of it left this host.
+    /// Whether any byte of it was sent to the backend server.
     pub sent: bool,
 }
 
-/// A place on a backend server.
+/// The right to run one request on a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Slot {
     /// The backend server.
     pub backend: BackendId,
-    /// The grant it rests on; none when the owner chose by itself.
+    /// The shard, its leader and the number of the grant behind the slot; `None` when the
+    /// owner chose the backend server itself.
     pub grant: Option<(Shard, HostId, GrantNumber)>,
 }
 
-/// A request in one state of its life.
+/// A request in the state `S` of its life cycle.
 #[derive(Debug)]
 pub struct Request<S> {
-    /// What is known of it.
+    /// The properties that were read on arrival.
     pub info: RequestInfo,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived_at: Instant,
-    /// The state.
+    /// The data of the current state.
     pub state: S,
 }
 
 impl Request<Waiting> {
-    /// Takes the slot that was granted.
+    /// Assigns the granted slot.
     pub fn grant(self, slot: Slot) -> Request<Granted> {
         let attempt = self.state.attempt;
         Request {
@@ -134,7 +136,8 @@
 }
 
 impl Request<Granted> {
-    /// Starts a request whose owner chose the backend server itself.
+    /// Creates a request for which the owner chose the backend server itself, without a
+    /// grant.
     pub fn placed_by_owner(info: RequestInfo, arrived_at: Instant, slot: Slot) -> Self {
         Self {
             info,
@@ -143,12 +146,13 @@
         }
     }
 
-    /// Hands the request over; it can't be handed over again.
+    /// Marks the request as dispatched; consuming it keeps it from being dispatched twice.
     pub fn dispatch(self, at: Instant) -> Request<Dispatched> {
         let state = Dispatched {
             slot: self.state.slot,
             attempt: self.state.attempt,
-            sent_at: at,
+            sent_at:
+            at,
             first_token_at: None,
             sent: false,
         };
@@ -161,10 +165,12 @@
 }
 
 impl Request<Dispatched> {
-    /// Takes a request back of which no byte left, to ask for another slot at `ask_at`.
+    /// Returns the request to the waiting state when no byte of it was sent, so that a slot
+    /// can be requested again at `ask_at`.
     ///
     /// # Errors
-    /// Gives the request as it is when a byte may have left, or no grant was needed.
+    /// Returns the request unchanged when a byte may have been sent or when it runs without
+    /// a grant.
     pub fn requeue(self, ask_at: Instant) -> Result<Request<Waiting>, Box<Self>> {
         let grant = self.state.slot.grant.clone();
         let Some((shard, leader, _)) = grant.filter(|_| !self.state.sent) else {
--- a/crates/jaypin_core/src/rule_index.rs
+++ b/crates/jaypin_core/src/rule_index.rs
@@ -1,4 +1,5 @@
-//! What schedulers look up in the rules for each request, indexed once a version.
+//! An index of the rules for the lookups that schedulers make per request; it is built once
+//! per version.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,29 +8,30 @@
 
 use crate::AccountId;
 
-/// Gap target where no rule states one, in seconds.
+/// Default target for the time between tokens, in seconds.
 const DEFAULT_GAP: f64 = 0.066;
-/// First-token target where no rule states one, in seconds.
+/// Default target for the time to the first token, in seconds.
 const DEFAULT_FIRST_TOKEN: f64 = 1.5;
 
-/// The part of a tier's rule that scheduling needs.
+/// The values of a tier's rule that scheduling needs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TierTargets {
-    /// Rank of the tier.
+    /// Rank of the tier; 0 is the highest tier.
     pub rank: u8,
-    /// Longest time to the first token, in seconds.
+    /// Longest acceptable time to the first token, in seconds.
     pub first_token: f64,
-    /// Longest time between tokens, in seconds.
+    /// Longest acceptable time between tokens, in seconds.
     pub gap: f64,
-    /// Running streams per shard that only this tier and higher ones may use.
+    /// Slots per shard that only this tier and higher ones may use.
     pub reserved_slots: u32,
-    /// Share of a shard's granted tokens that this tier gets even under load, 0 to 1.
+    /// Minimum share of a shard's granted tokens that this tier gets under load, from 0 to
+    /// 1.
     pub minimum_share: f64,
-    /// Line of the rule.
+    /// Line of the rule in the rule file; 0 when no rule defines the tier.
     pub line: u32,
 }
 
-/// Rules by what schedulers ask for.
+/// One version of the rules, indexed by tier rank and by account.
 #[derive(Debug, Clone, Default)]
 pub struct RuleIndex {
     rules: Arc<RuleSet>,
@@ -39,7 +41,7 @@
 }
 
 impl RuleIndex {
-    /// Indexes a version of the rules.
+    /// Builds the index of a version of the rules.
     #[must_use]
     pub fn new(rules: Arc<RuleSet>) -> Self {
         let tiers = rules.tiers.iter().map(|tier| TierTargets {
@@ -64,13 +66,14 @@
         }
     }
 
-    /// Tiers in order of rank.
+    /// Returns the tiers in order of rank.
     #[must_use]
     pub fn tiers(&self) -> &[TierTargets] {
         &self.tiers
     }
 
-    /// Targets of a tier, or the usual ones for a rank that no rule names.
+    /// Returns the targets of a tier, or the default targets for a rank that no rule
+    /// defines.
     #[must_use]
     pub fn tier(&self, rank: u8) -> TierTargets {
         let found = self.tiers.iter().find(|tier| tier.rank == rank);
@@ -84,26 +87,27 @@
         })
     }
 
-    /// The strictest gap of all tiers, in seconds.
+    /// Returns the shortest target of all tiers for the time between tokens, in seconds.
     #[must_use]
     pub fn strictest_gap(&self) -> f64 {
         let gaps = self.tiers.iter().map(|tier| tier.gap);
         gaps.reduce(f64::min).unwrap_or(DEFAULT_GAP)
     }
 
-    /// Weight of an account within a tier.
+    /// Returns the weight of an account within a tier; 1 when no rule sets it.
     #[must_use]
     pub fn share(&self, account: &str) -> f64 {
         self.shares.get(account).copied().unwrap_or(1.0)
     }
 
-    /// Limits of an account.
+    /// Returns the limits of an account, if it has any.
     #[must_use]
     pub fn limit(&self, account: &str) -> Option<&LimitRule> {
         self.limits.get(account)
     }
 
-    /// Whether a service's backend servers give one answer a call and prefill nothing.
+    /// Returns whether a service's backend servers send a single response per call and have
+    /// no prefill.
     #[must_use]
     pub fn is_plain(&self, service: &str) -> bool {
         self.rules
--- a/crates/jaypin_core/src/scheduler/estimate.rs
+++ b/crates/jaypin_core/src/scheduler/estimate.rs
@@ -1,4 +1,4 @@
-//! Estimates of waits, and the refusals that rest on them.
+//! Estimates of waits, and the refusals that are based on them.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,29 +9,29 @@
 use super::{OutgoingMessage, Scheduler};
 use crate::{Message, Reason, Refusal};
 
-/// Seconds over which arrivals are averaged.
+/// Time constant of the moving average of arrivals, in seconds.
 const ARRIVAL_DECAY_SECONDS: f64 = 4.0;
-/// Weight of a new observation of the time a request holds its slot.
+/// Weight of a new observation in the mean slot hold time.
 const HOLD_TIME_LEARNING_RATE: f64 = 0.05;
-/// First guess of the time a request holds its slot, in seconds.
+/// Initial estimate of the slot hold time, in seconds.
 const INITIAL_HOLD_SECONDS: f64 = 1.0;
-/// Part of the capacity that a tier is assumed to get beside higher ones, at least.
+/// Minimum fraction of the capacity that a tier is assumed to get beside higher tiers.
 const MIN_CAPACITY_FRACTION: f64 = 0.05;
-/// Factor on estimated waits: work that is let in and misses its deadline is wasted.
+/// Factor on estimated waits: accepted work that misses its deadline is wasted.
 const WAIT_MARGIN: f64 = 1.2;
-/// Bounds of the stated time to come back.
+/// Lower and upper bound of the stated time to a retry, in seconds.
 const RETRY_AFTER_BOUNDS_SECONDS: (f64, f64) = (0.5, 60.0);
-/// Spread of the stated time to come back, as factors.
+/// Range of the random factor on the stated time to a retry.
 const RETRY_AFTER_JITTER: std::ops::Range<f64> = 0.75..1.75;
 
-/// What arrives, and how long it holds a slot.
+/// Recent arrivals by tier, and the mean slot hold time.
 #[derive(Debug)]
 pub struct Demand {
     arrivals: BTreeMap<u8, Arrivals>,
     mean_hold_seconds: f64,
 }
 
-/// Work of a tier that arrived lately, decayed.
+/// Work of a tier that arrived recently, decayed exponentially.
 #[derive(Debug, Clone, Copy)]
 struct Arrivals {
     work: Work,
@@ -48,7 +48,7 @@
 }
 
 impl Demand {
-    /// Learns how long a request held its slot.
+    /// Updates the mean slot hold time from a request that ended.
     pub fn record_hold_time(&mut self, held_for: Duration) {
         self.mean_hold_seconds +=
             HOLD_TIME_LEARNING_RATE * (held_for.as_secs_f64() - self.mean_hold_seconds);
@@ -64,7 +64,7 @@
         arrivals.updated_at = now;
     }
 
-    /// Work a second of the tiers above a rank.
+    /// Returns the arriving work per second of the tiers above a rank.
     fn rate_above(&self, rank: u8, now: Instant) -> Work {
         let mut rate = Work::default();
         for (_, arrivals) in self.arrivals.range(..rank) {
@@ -81,25 +81,26 @@
     }
 }
 
-/// What the shard as a whole can do.
+/// The combined capacity of the shard's live backend servers.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Capacity {
-    /// Requests that may run at once.
+    /// Requests that may run at the same time.
     pub slots: f64,
-    /// Prefill tokens a second.
+    /// Prefill rate, in tokens per second.
     pub prefill_rate: f64,
-    /// Answer tokens a second.
+    /// Rate of answers, in tokens per second.
     pub answer_rate: f64,
-    /// Shortest wait for a prefill, in seconds.
+    /// Shortest prefill backlog of any backend server, in seconds.
     pub shortest_backlog: f64,
-    /// Fastest prefill, in tokens a second.
+    /// Highest prefill rate of any backend server, in tokens per second.
     pub fastest_prefill_rate: f64,
-    /// Shortest gap, in seconds.
+    /// Shortest time between tokens of any backend server, in seconds.
     pub shortest_gap: f64,
 }
 
 impl Capacity {
-    /// Slots that work a second holds, or slot-seconds that work takes.
+    /// Returns the slots that a rate of work in tokens per second occupies; for an amount
+    /// of work, the slot-seconds that it takes.
     fn slots_for(&self, work: Work) -> f64 {
         work.answer * self.slots / self.answer_rate + work.prompt / self.fastest_prefill_rate
     }
@@ -107,10 +108,12 @@
 
 impl Scheduler {
     pub(super) fn record_arrival(&mut self, waiting: &WaitingRequest, now: Instant) {
-        self.demand.record_arrival(waiting.ask.tier, waiting.work(), now);
+        self.demand
+            .record_arrival(waiting.ask.tier, waiting.work(), now);
     }
 
-    /// The gap that running streams are to keep; plain calls have none.
+    /// Returns the longest time between tokens that running streams must keep, in seconds.
+    /// Plain services have no streams and no limit.
     pub(super) fn strict_gap(&self) -> f64 {
         if self.is_plain {
             f64::MAX
@@ -139,7 +142,8 @@
         all
     }
 
-    /// Time that may pass before a start can't meet the deadline any more.
+    /// Returns how long a request can wait before it misses its deadline even on the
+    /// fastest backend server.
     pub(super) fn time_to_latest_start(&self, waiting: &WaitingRequest) -> Duration {
         if self.is_plain || self.backends.is_empty() {
             return waiting.ask.first_token_due_in;
@@ -157,14 +161,16 @@
         Duration::from_secs_f64(first.min(whole).max(0.0))
     }
 
-    /// Whether the estimated first token or whole answer misses its deadline.
+    /// Returns whether the estimated start of a request is later than its latest start, so
+    /// that its first token or its complete response would miss the deadline.
     pub(super) fn would_miss_deadline(&self, waiting: &WaitingRequest, now: Instant) -> bool {
         let ahead = self.queue.ahead_of(waiting);
         let wait = self.wait(ahead, waiting.ask.tier, now) * WAIT_MARGIN;
         now + Duration::from_secs_f64(wait.min(86_400.0)) > waiting.latest_start
     }
 
-    /// Slots that arrivals of the tiers above a rank hold at their present rate.
+    /// Returns the slots that arrivals of the tiers above a rank occupy at their current
+    /// rate.
     pub(super) fn slots_needed_above(&self, rank: u8, now: Instant) -> f64 {
         let all = self.capacity(now);
         if self.is_plain || all.slots <= 0.0 {
@@ -173,15 +179,15 @@
         all.slots_for(self.demand.rate_above(rank, now))
     }
 
-    /// Wait of a new request of a tier, as a hint for owners.
+    /// Returns the expected wait of a new request of a tier; owners use it as a hint.
     pub(super) fn expected_wait(&self, rank: u8, now: Instant) -> Duration {
         let mut ahead = self.queue.work_above(rank);
         ahead.add(self.queue.work_of(rank));
         Duration::from_secs_f64(self.wait(ahead, rank, now).min(3_600.0))
     }
 
-    /// Seconds until work is served: by slots or by prefill, whichever is longer, at
-    /// the pace that arriving higher tiers leave.
+    /// Returns the estimated seconds until work is served, limited by slots or by prefill,
+    /// whichever takes longer, with the capacity that arrivals of higher tiers leave.
     fn wait(&self, ahead: Work, rank: u8, now: Instant) -> f64 {
         let all = self.capacity(now);
         if all.slots <= 0.0 {
@@ -192,8 +198,8 @@
             return next_slot;
         }
         let above = self.demand.rate_above(rank, now);
-        let slot_seconds =
-            |work: Work| { work.answer / all.answer_rate + work.prompt / all.fastest_prefill_rate / all.slots
+        let slot_seconds = |work: Work| {
+            work.answer / all.answer_rate + work.prompt / all.fastest_prefill_rate / all.slots
         };
         let slots_left = (1.0 - slot_seconds(above)).max(MIN_CAPACITY_FRACTION);
         let prefill_left = (1.0 - above.prompt / all.prefill_rate).max(MIN_CAPACITY_FRACTION);
@@ -202,10 +208,8 @@
         by_slots.max(by_prefill)
     }
 
-    // ------------------------------------------------------------------ refusals
-
-    /// Refuses a request and says when to come back: once the queue it met has drained,
-    /// spread so that callers don't return together.
+    /// Refuses a request and states a time to a retry: the time until the queue ahead of it
+    /// has drained, with jitter so that callers don't retry simultaneously.
     pub(super) fn refuse(
         &mut self,
         waiting: &WaitingRequest,
@@ -219,6 +223,8 @@
         self.refuse_after(waiting, reason, drain, line, out);
     }
 
+    /// Refuses a request and states a time to a retry of about `wait`, with jitter.
+
     pub(super) fn refuse_after(
         &mut self,
         waiting: &WaitingRequest,
@@ -228,7 +234,8 @@
         out: &mut Vec<OutgoingMessage>,
     ) {
         let jitter = self.rng.random_range(RETRY_AFTER_JITTER);
-        let seconds = (wait.as_secs_f64() * jitter).clamp(RETRY_AFTER_BOUNDS_SECONDS.0, RETRY_AFTER_BOUNDS_SECONDS.1);
+        let seconds = (wait.as_secs_f64() * jitter)
+            .clamp(RETRY_AFTER_BOUNDS_SECONDS.0, RETRY_AFTER_BOUNDS_SECONDS.1);
         let mut refusal = Refusal::not_run(reason).retry_after(Duration::from_secs_f64(seconds));
         refusal.rule_line = line;
         let refused = Message::Refused {
--- a/crates/jaypin_core/src/scheduler/grants.rs
+++ b/crates/jaypin_core/src/scheduler/grants.rs
@@ -1,4 +1,4 @@
-//! Which request gets which backend server next.
+//! The choice of the next request to grant and of its backend server.
 
 use std::time::{Duration, Instant};
 
@@ -8,69 +8,74 @@
 use crate::rule_index::TierTargets;
 use crate::{BackendId, Candidate, Grant, Message, RequestId};
 
-/// Backend servers named in a grant's explanation.
+/// Maximum number of backend servers listed in a grant's explanation.
 const EXPLAINED_CANDIDATES: usize = 3;
-/// Slots that higher tiers need, below which none are kept for them.
+/// Slots needed by higher tiers below which none are reserved for them.
 const MIN_NEEDED_SLOTS: f64 = 0.5;
-/// Part of all slots that may be kept from deferrable work.
+/// Maximum fraction of all slots that is reserved against deferrable work.
 const MAX_RESERVED_FRACTION: f64 = 0.9;
-/// Requests of a tier that are weighed before one is granted.
+/// Maximum number of requests of a tier that are considered for one grant.
 const MAX_CONSIDERED_PER_TIER: usize = 16;
-/// Weight of prefill that another backend server of the shard would save.
+/// Weight of prefill time that another backend server of the shard would save.
 ///
-/// Above 1, for it takes time from all that wait, while a slower answer takes time from
-/// one request that still meets its deadline.
+/// It is above 1 because avoidable prefill delays all waiting requests, while a slower
+/// answer delays one request that still meets its deadline.
 const AVOIDABLE_PREFILL_WEIGHT: f64 = 8.0;
-/// Tokens of avoidable prefill from which a request lets others of its tier pass.
+/// Avoidable prefill, in tokens, above which a request lets others of its tier go first.
 const TOLERATED_AVOIDABLE_TOKENS: u32 = 64;
-/// Part of the time to its latest start for which a request lets others pass.
+/// Fraction of the time to its latest start for which a request lets others go first.
 const CACHE_WAIT_FRACTION: f64 = 0.3;
-/// Weight of the answer's time: a slower answer that meets its deadline costs little.
+/// Weight of the answer time; it is low because a slower answer that meets its deadline
+/// costs little.
 const ANSWER_WEIGHT: f64 = 0.1;
-/// A tier can wait if its first-token time is so many times a higher tier's.
+/// A tier is deferrable if its first-token target is at least this multiple of a higher
+/// tier's.
 const DEFERRABLE_FACTOR: f64 = 4.0;
-/// Slots kept for bursts, as a factor on the root of the slots that higher tiers need.
+/// Slots reserved for bursts, as a factor on the square root of the slots that higher tiers
+/// need.
 const BURST_FACTOR: f64 = 0.5;
-/// Seconds of prefill queued at a backend server beyond which no deferrable work is
-/// added: what waits inside an engine can't be overtaken.
+/// Prefill backlog of a backend server, in seconds, above which it gets no deferrable work:
+/// requests can't be reordered once they wait inside the inference engine.
 const MAX_DEFERRABLE_BACKLOG: f64 = 0.1;
-/// Part of a higher tier's first-token time that lower tiers' prefills may take up.
+/// Fraction of a higher tier's first-token target by which prefills of lower tiers may
+/// delay it.
 const PREFILL_DELAY_FRACTION: f64 = 0.3;
-/// Backend servers, one in so many, that lower tiers leave without long prefills.
+/// Lower tiers leave one in this many backend servers without long prefills.
 const UNCROWDED_DIVISOR: usize = 3;
-/// Seconds that a full backend server counts as slower than an empty one.
+/// Penalty of a fully loaded backend server over an empty one, in seconds.
 const LOAD_WEIGHT: f64 = 0.01;
-/// Largest credit of a minimum, in times the cost of the request it is spent on.
+/// Maximum credit towards a minimum share, as a multiple of the cost of the next request.
 const MAX_CREDIT: f64 = 2.0;
-/// Largest debt of a tier that got more than its minimum, in times the cost of its last
-/// request: what it got in the last seconds counts against a minimum later.
+/// Maximum debt of a tier that got more than its minimum share, as a multiple of the cost
+/// of its last request. Through the debt, what the tier got in the last seconds counts
+/// against its minimum share later.
 const MAX_DEBT: f64 = 8.0;
 
-/// A backend server that a request could go to.
+/// A backend server that can serve a request, with the estimates it was rated by.
 #[derive(Debug, Clone)]
 struct Placement {
     backend: BackendId,
     score: f64,
-    /// Tokens of prefill that another backend server would save.
+    /// Prefill tokens that another backend server would save.
     avoidable_tokens: u32,
     first_token: f64,
     running: u32,
     limit: u32,
 }
 
-/// What a round of granting goes by.
+/// The inputs that all decisions of one granting round share.
 #[derive(Debug)]
 struct Round {
     now: Instant,
     strict_gap: f64,
     has_fast_backend: bool,
     free_strict_slots: u32,
-    /// Whether the room that is left is kept for higher tiers.
+    /// Whether all slots that are left are reserved for higher tiers.
     is_reserved: bool,
 }
 
 impl Scheduler {
-    /// Grants while something that waits fits somewhere.
+    /// Grants slots to waiting requests until none of them fits a backend server.
     pub(super) fn grant_waiting(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         if now < self.ready_at || self.queue.len() == 0 {
             return;
@@ -80,7 +85,7 @@
         }
     }
 
-    /// The next request and its backend servers, the chosen one first.
+    /// Returns the next request to grant and its possible placements, the chosen one first.
     fn next_placement(&self, now: Instant) -> Option<(RequestId, Vec<Placement>)> {
         let mut round = self.round(now)?;
         let owed = self.tier_owed_minimum();
@@ -101,9 +106,14 @@
         None
     }
 
-    /// The first request of a tier that finds a backend server without avoidable
-    /// prefill; failing that, the first that finds any and has no time to lose.
-    fn next_in_tier(&self, tier: &TierTargets, round: &Round,) -> Option<(RequestId, Vec<Placement>)> {
+    /// Returns the first request of a tier that has a placement without avoidable prefill.
+    /// If there is none, returns the first that has any placement and can't wait longer for
+    /// its cached prefix.
+    fn next_in_tier(
+        &self,
+        tier: &TierTargets,
+        round: &Round,
+    ) -> Option<(RequestId, Vec<Placement>)> {
         let mut fallback = None;
         for waiting in self.queue.in_order(tier.rank).take(MAX_CONSIDERED_PER_TIER) {
             let placements = self.placements(waiting, tier, round);
@@ -121,7 +131,7 @@
         fallback
     }
 
-    /// What a round goes by; none when no backend server has room.
+    /// Returns the inputs of a round; `None` when no backend server has a free slot.
     fn round(&self, now: Instant) -> Option<Round> {
         let strict_gap = self.strict_gap();
         let mut round = Round {
@@ -143,13 +153,17 @@
         has_free_slot.then_some(round)
     }
 
-    /// Slots that higher tiers have reserved and not in use; at least one of those that
-    /// may be used now is left over, or a backend server that is tried with a single
-    /// request would wait for a higher tier's for ever.
+    /// Returns the slots that higher tiers have reserved and don't use.
+    ///
+    /// At least one of the currently usable slots is left over. Otherwise, a backend server
+    /// that is probed with a single request would wait forever for a request of a higher
+    /// tier.
     fn slots_reserved_above(&self, rank: u8) -> u32 {
         let higher = self.rules.tiers().iter().filter(|tier| tier.rank < rank);
         let reserved: u32 = higher
-            .map(|tier| { tier.reserved_slots.saturating_sub(self.running.of_tier(tier.rank))
+            .map(|tier| {
+                tier.reserved_slots
+                    .saturating_sub(self.running.of_tier(tier.rank))
             })
             .sum();
         let slots: u32 = self
@@ -159,12 +173,13 @@
         reserved.min(slots.saturating_sub(1))
     }
 
-    /// Slots that deferrable work leaves free for the arrivals of higher tiers: what
-    /// they need at their present rate, and a little for bursts, less what they hold.
+    /// Returns the slots that deferrable work leaves free for arrivals of higher tiers: the
+    /// slots they need at their current rate plus a margin for bursts, less those they
+    /// hold.
     ///
-    /// Its requests hold slots for long. Were they given every slot that is free for a
-    /// moment, higher tiers would wait until enough of them have ended, which shows as
-    /// refusals of the lowest interactive tier while deferrable work runs.
+    /// Deferrable requests hold slots for a long time. If they got every slot that is
+    /// momentarily free, higher tiers would have to wait until enough of them have ended,
+    /// and the lowest interactive tier would be refused while deferrable work runs.
     fn headroom(&self, tier: &TierTargets, now: Instant) -> u32 {
         let is_urgent = |other: &&TierTargets| {
             other.rank < tier.rank && tier.first_token >= DEFERRABLE_FACTOR * other.first_token
@@ -190,7 +205,8 @@
         slots
     }
 
-    /// The tier whose minimum is due, if one is; never before the top tier.
+    /// Returns the rank of a tier whose credit pays for its next request, if any. The top
+    /// tier always goes first.
     fn tier_owed_minimum(&self) -> Option<u8> {
         let top = self.queue.ranks().next()?;
         if self
@@ -204,16 +220,24 @@
         self.queue.ranks().skip(1).find(|rank| {
             let cost = self.queue.in_order(*rank).next();
             let cost = cost.map_or(f64::MAX, |waiting| waiting.work().tokens());
-            self.minimum_credit.get(rank).is_some_and(|credit| *credit >= cost)
+            self.minimum_credit
+                .get(rank)
+                .is_some_and(|credit| *credit >= cost)
         })
     }
 
-    /// Each grant earns waiting tiers their minimum, and costs its own tier what it has.
+    /// Adds each waiting tier's minimum share of a grant to its credit, and subtracts the
+    /// grant from the credit of its own tier.
     fn update_minimum_credit(&mut self, rank: u8, tokens: f64) {
         if let Some(credit) = self.minimum_credit.get_mut(&rank) {
             *credit = (*credit - tokens).max(-MAX_DEBT * tokens);
         }
-        for tier in self.rules.tiers().iter().filter(|tier| tier.minimum_share > 0.0) {
+        for tier in self
+            .rules
+            .tiers()
+            .iter()
+            .filter(|tier| tier.minimum_share > 0.0)
+        {
             let Some(head) = self.queue.in_order(tier.rank).next() else {
                 continue;
             };
@@ -223,15 +247,25 @@
         }
     }
 
-    // ------------------------------------------------------------------ placement
+    /// Returns the best placements of a request, lowest score first.
 
-    fn placements(&self, waiting: &WaitingRequest, tier: &TierTargets, round: &Round,) -> Vec<Placement> {
+    fn placements(
+        &self,
+        waiting: &WaitingRequest,
+        tier: &TierTargets,
+        round: &Round,
+    ) -> Vec<Placement> {
         let tolerable_delay = self.tolerable_prefill_delay(tier.rank);
         let max_cached_tokens = self.max_cached_tokens(waiting);
         let mut best: Vec<Placement> = Vec::new();
         for (id, backend) in &self.backends {
-            let Some(mut placement) = self.placement(backend, waiting, tier, round, (tolerable_delay, max_cached_tokens),)
-            else {
+            let Some(mut placement) = self.placement(
+                backend,
+                waiting,
+                tier,
+                round,
+                (tolerable_delay, max_cached_tokens),
+            ) else {
                 continue;
             };
             let place = best.partition_point(|other| other.score <= placement.score);
@@ -244,7 +278,8 @@
         best
     }
 
-    /// Weighs a backend server for a request; none when it can't serve it well.
+    /// Rates a backend server for a request; `None` when it can't serve the request within
+    /// its targets.
     fn placement(
         &self,
         backend: &Backend,
@@ -255,7 +290,10 @@
     ) -> Option<Placement> {
         let model = &backend.model;
         let gap = target_gap(backend, tier, round)?;
-        if round.is_reserved && round.has_fast_backend && !model.token_gaps.single_stream_exceeds(round.strict_gap) {
+        if round.is_reserved
+            && round.has_fast_backend
+            && !model.token_gaps.single_stream_exceeds(round.strict_gap)
+        {
             return None;
         }
         if model.free_slots(gap, round.now) == 0 {
@@ -264,10 +302,10 @@
         let (backlog, prefill) = self.prefill_estimate(backend, waiting, round.now);
         let first_token = backlog + prefill;
         let max_backlog = if tier.first_token
-            >= DEFERRABLE_FACTOR * tolerable_delay.map_or(f64::MAX, |tolerable_delay| {
+            >= DEFERRABLE_FACTOR
+                * tolerable_delay.map_or(f64::MAX, |tolerable_delay| {
                     tolerable_delay / PREFILL_DELAY_FRACTION
-                })
-        {
+                }) {
             MAX_DEFERRABLE_BACKLOG
         } else {
             tolerable_delay.unwrap_or(f64::MAX)
@@ -275,7 +313,8 @@
         if backlog > max_backlog {
             return None;
         }
-        if tolerable_delay.is_some_and(|tolerable_delay| { self.would_delay_higher_tiers(backend, first_token, tolerable_delay, round.now)
+        if tolerable_delay.is_some_and(|tolerable_delay| {
+            self.would_delay_higher_tiers(backend, first_token, tolerable_delay, round.now)
         }) {
             return None;
         }
@@ -283,13 +322,14 @@
         let spent = round.now.saturating_duration_since(waiting.queued_at);
         let first_token_time_left = waiting.ask.first_token_due_in.saturating_sub(spent);
         let response_time_left = waiting.ask.response_due_in.saturating_sub(spent);
-        if first_token > first_token_time_left.as_secs_f64() || first_token + answer > response_time_left.as_secs_f64()
+        if first_token > first_token_time_left.as_secs_f64()
+            || first_token + answer > response_time_left.as_secs_f64()
         {
             return None;
         }
         let limit = model.limit(gap);
-        // A prefill delays others as well as the request itself, so it counts twice; the
-        // load decides between backend servers that are as fast.
+        // A prefill delays other requests as well as this one, so it counts twice. Load
+        // decides between backend servers that are equally fast.
         let load = f64::from(model.running) / f64::from(limit.max(1));
         let cached = backend.prefixes.cached_tokens(&waiting.ask.prefixes);
         let avoidable_tokens = max_cached_tokens.saturating_sub(cached);
@@ -309,16 +349,26 @@
         })
     }
 
-    /// Seconds of prefill before and of a request.
-    fn prefill_estimate(&self, backend: &Backend, waiting: &WaitingRequest, now: Instant,) -> (f64, f64) {
+    /// Returns the estimated prefill backlog ahead of a request and its own prefill time,
+    /// in seconds.
+    fn prefill_estimate(
+        &self,
+        backend: &Backend,
+        waiting: &WaitingRequest,
+        now: Instant,
+    ) -> (f64, f64) {
         if self.is_plain {
             return (0.0, 0.0);
         }
         let tokens = self.uncached_tokens(backend, waiting);
-        (backend.model.prefill_backlog(now), backend.model.estimated_prefill(tokens),)
+        (
+            backend.model.prefill_backlog(now),
+            backend.model.estimated_prefill(tokens),
+        )
     }
 
-    /// Most tokens of a prompt that any backend server of the shard holds.
+    /// Returns the largest number of prompt tokens that any backend server of the shard has
+    /// cached.
     fn max_cached_tokens(&self, waiting: &WaitingRequest) -> u32 {
         if self.is_plain || waiting.ask.prefixes.is_empty() {
             return 0;
@@ -329,6 +379,8 @@
         cached.max().unwrap_or_default()
     }
 
+    /// Returns the prompt tokens that a backend server has to prefill for a request.
+
     fn uncached_tokens(&self, backend: &Backend, waiting: &WaitingRequest) -> u32 {
         if self.is_plain {
             return 0;
@@ -337,32 +389,41 @@
         waiting.ask.prompt_tokens.saturating_sub(cached).max(1)
     }
 
-    /// Seconds of prefill that tiers above a rank can wait out; none for the top tier.
+    /// Returns the seconds of prefill by which requests of tiers above a rank may be
+    /// delayed; `None` for the top tier.
     fn tolerable_prefill_delay(&self, rank: u8) -> Option<f64> {
         let higher = self.rules.tiers().iter().filter(|tier| tier.rank < rank);
         let least = higher.map(|tier| tier.first_token).reduce(f64::min)?;
         Some(least * PREFILL_DELAY_FRACTION)
     }
 
-    /// Whether a long prefill here would leave too few backend servers on which a
-    /// higher tier's request could start at once.
-    fn would_delay_higher_tiers(&self, backend: &Backend, first_token: f64,
-        tolerable_delay: f64, now: Instant,) -> bool {
+    /// Returns whether a long prefill on this backend server would leave too few others on
+    /// which a request of a higher tier could start at once.
+    fn would_delay_higher_tiers(
+        &self,
+        backend: &Backend,
+        first_token: f64,
+        tolerable_delay: f64,
+        now: Instant,
+    ) -> bool {
         if self.is_plain || first_token <= tolerable_delay || self.backends.len() < 2 {
             return false;
         }
-        let is_uncrowded =
-            |other: &&Backend| { other.model.accepts_work(now) && other.model.prefill_backlog(now) <= tolerable_delay
+        let is_uncrowded = |other: &&Backend| {
+            other.model.accepts_work(now) && other.model.prefill_backlog(now) <= tolerable_delay
         };
         let uncrowded = self.live_backends().filter(is_uncrowded).count();
         let after = uncrowded - usize::from(is_uncrowded(&backend));
         after < self.backends.len().div_ceil(UNCROWDED_DIVISOR)
     }
 
-    // ------------------------------------------------------------------ granting
-
-    fn grant(&mut self, id: &RequestId,
-        placements: Vec<Placement>, now: Instant, out: &mut Vec<OutgoingMessage>,) {
+    fn grant(
+        &mut self,
+        id: &RequestId,
+        placements: Vec<Placement>,
+        now: Instant,
+        out: &mut Vec<OutgoingMessage>,
+    ) {
         let Some(waiting) = self.queue.take_for_service(id) else {
             return;
         };
@@ -410,7 +471,9 @@
             check_at: now,
         };
         if let Some(backend) = self.backends.get_mut(chosen) {
-            backend.model.record_grant(self.number.sequence, tokens, now);
+            backend
+                .model
+                .record_grant(self.number.sequence, tokens, now);
             backend.prefixes.insert(&waiting.ask.prefixes, tokens);
         }
         self.limits.record_start(&waiting.ask.account);
@@ -418,10 +481,12 @@
     }
 }
 
-/// The gap that a backend server is to keep for a tier; none when it can't.
+/// Returns the time between tokens that a backend server must keep for a tier, in seconds;
+/// `None` when it can't.
 ///
-/// One that is too slow for interactive work takes deferrable work up to that work's
-/// own target, and now and then a single request that shows whether it recovered.
+/// A backend server that is too slow for interactive work gets deferrable work within that
+/// work's own target. From time to time it also gets a single request that shows whether it
+/// has recovered.
 fn target_gap(backend: &Backend, tier: &TierTargets, round: &Round) -> Option<f64> {
     let pace = &backend.model.token_gaps;
     if !round.has_fast_backend || !pace.single_stream_exceeds(round.strict_gap) {
@@ -436,7 +501,8 @@
         .then_some(round.strict_gap)
 }
 
-/// Whether a request can wait for a backend server that holds its prefix.
+/// Returns whether a request has time left to wait for a backend server with its prefix
+/// cached.
 fn can_wait_for_cached_prefix(waiting: &WaitingRequest, round: &Round) -> bool {
     let all = waiting
         .latest_start
--- a/crates/jaypin_core/src/scheduler/limits.rs
+++ b/crates/jaypin_core/src/scheduler/limits.rs
@@ -1,8 +1,8 @@
 //! Limits of client accounts, as far as this shard enforces them.
 //!
-//! Each shard enforces an allowance out of an account's limits. Schedulers tell the
-//! account's limit keeper, a host found by rendezvous, what is asked of them, and get
-//! their allowance back. Nothing is asked per request.
+//! Each shard enforces an allowance out of an account's limits. Schedulers report the
+//! account's usage to its limit keeper, a host chosen by rendezvous hashing, and receive
+//! their allowance in return. No message is sent per request.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -12,17 +12,19 @@
 use super::Scheduler;
 use crate::{AccountId, Allowance, Ask};
 
-/// Seconds of its rate that an account may use at once.
+/// Burst size of an account's token bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
-/// Wait that is stated to an account over its concurrency limit.
+/// Time to a retry that is stated to an account over its concurrency limit.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Use of this shard by accounts that run or are limited.
+/// Usage of this shard by accounts that have running requests or limits.
 #[derive(Debug, Default)]
 pub struct AccountLimits {
     accounts: HashMap<AccountId, AccountState>,
 }
 
+/// Usage and limits of one account in this shard.
+
 #[derive(Debug)]
 struct AccountState {
     running: u32,
@@ -32,21 +34,21 @@
     peak_at_once: u32,
 }
 
-/// Tokens that may be used now.
+/// Token bucket of an account; `tokens` is negative after a request larger than the burst.
 #[derive(Debug)]
 struct Bucket {
     tokens: f64,
     refilled_at: Instant,
 }
 
-/// What a shard saw of a limited account since it last told.
+/// Usage of a shard by a limited account since the last report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AccountUsage {
     /// The account.
     pub account: AccountId,
-    /// Tokens asked for.
+    /// Number of requested tokens.
     pub tokens: f64,
-    /// Most requests that ran or wanted to run at once.
+    /// Largest number of requests that ran or were requested at the same time.
     pub at_once: u32,
 }
 
@@ -63,12 +65,13 @@
 }
 
 impl AccountLimits {
-    /// Counts a request that starts.
+    /// Records the start of a request.
     pub fn record_start(&mut self, account: &AccountId) {
         self.accounts.entry(account.clone()).or_default().running += 1;
     }
 
-    /// Counts the end of a request; an account without limits is forgotten with its last.
+    /// Records the end of a request; an account without limits is removed with its last
+    /// request.
     pub fn record_end(&mut self, account: &AccountId) {
         let Some(usage) = self.accounts.get_mut(account) else {
             return;
@@ -79,14 +82,14 @@
         }
     }
 
-    /// Takes what this shard may use of an account's limits.
+    /// Sets this shard's allowance out of an account's limits.
     pub fn allow(&mut self, account: &AccountId, allowance: Allowance) {
         if let Some(usage) = self.accounts.get_mut(account) {
             usage.allowance = Some(allowance);
         }
     }
 
-    /// What was asked by limited accounts since the last call; idle ones are forgotten.
+    /// Takes the usage of limited accounts since the last call, and removes idle accounts.
     pub fn take_seen(&mut self, now: Instant) -> Vec<AccountUsage> {
         let mut usages = Vec::new();
         self.accounts.retain(|account, usage| {
@@ -112,7 +115,8 @@
         usages
     }
 
-    /// Charges a request to its account; gives the wait when the account is over a limit.
+    /// Charges a request to its account; returns the time to a retry when the account
+    /// exceeds a limit.
     fn charge(
         &mut self,
         account: &AccountId,
@@ -137,7 +141,8 @@
         if f64::from(usage.running) >= allowance.at_once.max(1.0) {
             return Some(CONCURRENCY_RETRY_AFTER);
         }
-        // A request larger than the burst passes a full bucket and leaves a debt.
+        // A request larger than the burst is accepted when the bucket is not empty, and
+        // leaves a debt.
         if bucket.tokens <= 0.0 {
             let wait = (tokens - bucket.tokens) / rate.max(1e-3);
             return Some(Duration::from_secs_f64(wait.clamp(0.1, 600.0)));
@@ -148,7 +153,8 @@
 }
 
 impl Scheduler {
-    /// Charges a request to its account; gives the wait when the account is over a limit.
+    /// Charges a request to its account; returns the time to a retry when the account
+    /// exceeds a limit.
     pub(super) fn charge_limits(&mut self, ask: &Ask, now: Instant) -> Option<Duration> {
         let rules = self.rules.clone();
         let rule = rules.limit(&ask.account)?;
@@ -156,12 +162,12 @@
         self.limits.charge(&ask.account, tokens, rule, now)
     }
 
-    /// What limited accounts asked here since the last call.
+    /// Takes the usage of limited accounts in this shard since the last call.
     pub fn take_usage(&mut self, now: Instant) -> Vec<AccountUsage> {
         self.limits.take_seen(now)
     }
 
-    /// Takes what this shard may use of an account's limits.
+    /// Sets this shard's allowance out of an account's limits.
     pub fn set_allowance(&mut self, account: &AccountId, allowance: Allowance) {
         self.limits.allow(account, allowance);
     }
--- a/crates/jaypin_core/src/scheduler/mod.rs
+++ b/crates/jaypin_core/src/scheduler/mod.rs
@@ -1,4 +1,4 @@
-//! The single counter and single queue of one shard.
+//! The scheduler of one shard: a single queue of requests and a single count of used slots.
 
 mod estimate;
 mod grants;
@@ -27,10 +27,12 @@
 
 pub use report::{BackendReport, BackendState, ShardReport};
 
-/// A message to a host, as schedulers produce them.
+/// A message with the host that it is to be sent to.
 pub type OutgoingMessage = (HostId, Message);
 
-/// The scheduler of one shard; soft state on the host that leads it.
+/// The scheduler of one shard, on the host that leads the shard.
+///
+/// Its state is soft: a new leader rebuilds it from the owners' reports.
 #[derive(Debug)]
 pub struct Scheduler {
     shard: Shard,
@@ -48,7 +50,7 @@
     minimum_credit: BTreeMap<u8, f64>,
 }
 
-/// A backend server of the shard.
+/// What the scheduler keeps about one backend server of the shard.
 #[derive(Debug)]
 struct Backend {
     model: BackendModel,
@@ -56,7 +58,8 @@
 }
 
 impl Scheduler {
-    /// Starts a scheduler that grants nothing until owners had time to report.
+    /// Creates a scheduler that grants nothing until the rebuild window has passed, so that
+    /// owners can report the requests that they have in flight.
     #[must_use]
     pub fn new(shard: Shard, cfg: &Config, rules: Arc<RuleIndex>, now: Instant) -> Self {
         let seed = cfg.seed ^ score(&cfg.host, &shard.to_string());
@@ -80,15 +83,13 @@
         }
     }
 
-    // ------------------------------------------------------------------ knowledge
-
-    /// Takes a newer version of the rules.
+    /// Applies a newer version of the rules.
     pub fn set_rules(&mut self, rules: Arc<RuleIndex>) {
         self.is_plain = rules.is_plain(&self.shard.service);
         self.rules = rules;
     }
 
-    /// Takes the shard's backend servers from a newer host list.
+    /// Applies the shard's backend servers from a newer host list; learned models are kept.
     pub fn set_backends<'a>(
         &mut self,
         records: impl Iterator<Item = &'a BackendRecord>,
@@ -107,7 +108,8 @@
         self.backends = next;
     }
 
-    /// A backend server without history; what runs there by earlier grants counts.
+    /// Creates the state of a backend server without history, counting requests that
+    /// already run there on earlier grants.
     fn new_backend(&self, record: &BackendRecord, now: Instant) -> Backend {
         let mut model = BackendModel::new(record.slots, record.presence);
         for _ in 0..self.running.on_backend(&record.id) {
@@ -119,14 +121,14 @@
         }
     }
 
-    /// Takes a lagging load report.
+    /// Applies a load report, which lags behind the actual load.
     pub fn apply_load_report(&mut self, report: &LoadReport, now: Instant) {
         if let Some(backend) = self.backends.get_mut(&report.backend) {
             backend.model.apply_load_report(report, now);
         }
     }
 
-    /// Takes what an owner has running from before this scheduler's time.
+    /// Adopts the requests that an owner has running on grants of an earlier scheduler.
     pub fn adopt_in_flight(&mut self, owner: &HostId, entries: Vec<InFlight>, now: Instant) {
         for entry in entries {
             if self.running.contains(&entry.id) {
@@ -140,14 +142,14 @@
         }
     }
 
-    /// Ends the time for owners' reports early, since all have reported.
+    /// Ends the rebuild window early because all owners have reported.
     pub fn end_rebuild(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         self.ready_at = self.ready_at.min(now);
         self.grant_waiting(now, out);
     }
 
-    /// Drops what a lost owner waited for. What it has running stays counted until
-    /// its backend servers had time to end it.
+    /// Removes the waiting requests of a lost owner. Its running requests stay counted
+    /// until its backend servers had time to end them.
     pub fn mark_owner_lost(&mut self, owner: &HostId, now: Instant) {
         for id in self.queue.of_owner(owner) {
             self.queue.remove(&id);
@@ -155,18 +157,16 @@
         self.running.mark_owner_lost(owner, now);
     }
 
-    /// Counts on an owner again that was only unreachable.
+    /// Accepts an owner again that was only unreachable, and has its grants confirmed.
     pub fn mark_owner_recovered(&mut self, owner: &HostId, now: Instant) {
         self.running.mark_owner_recovered(owner, now);
     }
 
-    // ------------------------------------------------------------------ requests
-
     /// Queues, grants or refuses a request.
     ///
-    /// A repeated ask with a greater number replaces the earlier one, whose grant the
-    /// owner will not use; one with the same number or a smaller one was duplicated or
-    /// overtaken on its way and changes nothing.
+    /// A repeated slot request with a greater attempt number replaces the earlier one,
+    /// whose grant the owner will not use. One with the same or a smaller number was
+    /// duplicated or reordered in transit and is ignored.
     pub fn submit(&mut self, owner: &HostId, ask: Ask, now: Instant, out: &mut Vec<OutgoingMessage>,) {
         if self.is_stale(&ask) {
             return;
@@ -189,6 +189,8 @@
         }
     }
 
+    /// Returns whether a slot request is not newer than the one already known.
+
     fn is_stale(&self, ask: &Ask) -> bool {
         let waiting = self.queue.get(&ask.id).map(|waiting| waiting.ask.attempt);
         let granted = self.running.attempt(&ask.id);
@@ -197,8 +199,8 @@
             .is_some_and(|attempt| ask.attempt <= attempt)
     }
 
-    /// A request that can't start now waits, unless it could only miss its deadline or
-    /// the queue is full.
+    /// Keeps a request that can't start now in the queue, unless it would miss its
+    /// deadline. If the queue is full, the request with the lowest priority is refused.
     fn queue_or_refuse(&mut self, id: &RequestId, now: Instant, out: &mut Vec<OutgoingMessage>) {
         let Some(waiting) = self.queue.get(id) else {
             return;
@@ -225,12 +227,13 @@
         }
     }
 
-    /// Drops a request that waits.
+    /// Removes a waiting request.
     pub fn withdraw(&mut self, id: &RequestId) {
         self.queue.remove(id);
     }
 
-    /// Learns what became of a slot, and grants it anew once it is free.
+    /// Records the progress of a granted request, and grants its slot again once it is
+    /// free.
     pub fn apply_progress(
         &mut self,
         id: &RequestId,
@@ -265,7 +268,8 @@
         self.grant_waiting(now, out);
     }
 
-    /// Takes unused grants back, gives up on what is too late, and grants what is free.
+    /// Has overdue grants confirmed, refuses waiting requests that can't meet their
+    /// deadlines any more, and grants free slots.
     pub fn tick(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         self.check_running(now, out);
         if now >= self.ready_at {
@@ -276,26 +280,24 @@
         self.grant_waiting(now, out);
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
         self.queue.len()
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// What was learned of a backend server.
+    /// Returns the learned model of a backend server.
     #[must_use]
     pub fn model(&self, backend: &str) -> Option<&BackendModel> {
         self.backends.get(backend).map(|backend| &backend.model)
     }
 
-    // ------------------------------------------------------------------ inside
-
     fn new_waiting(&self, owner: &HostId, ask: Ask, now: Instant) -> WaitingRequest {
         let answer_tokens = if self.is_plain { 0 } else { ask.max_tokens };
         let mut waiting = WaitingRequest {
@@ -337,7 +339,8 @@
         let streaming = now
             .saturating_duration_since(first)
             .saturating_sub(since_grant.saturating_sub(after));
-        let streams = (backend.model.token_gaps.stream_seconds_at(now) - run.stream_seconds_at_first_token)
+        let streams = (backend.model.token_gaps.stream_seconds_at(now)
+            - run.stream_seconds_at_first_token)
             / now.saturating_duration_since(first).as_secs_f64().max(1e-3);
         let gaps = tokens.saturating_sub(1);
         backend
@@ -366,12 +369,12 @@
         }
     }
 
-    /// Asks owners of grants that are overdue whether they still hold them, and frees
-    /// what lost owners had running.
+    /// Asks the owners of overdue grants whether they still use them, and frees the grants
+    /// of lost owners.
     ///
-    /// Guards against slots that stay counted for ever: a grant or a last word can be
-    /// lost with a link, and an owner can die. The owner answers from its own table, so
-    /// no running request loses its slot.
+    /// Slots would otherwise stay counted forever when a grant or a final report is lost
+    /// with a link, or when an owner crashes. Owners reply from their own tables, so no
+    /// running request loses its slot.
     fn check_running(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         while let Some(due) = self.running.pop_due(now) {
             match due {
--- a/crates/jaypin_core/src/scheduler/queue.rs
+++ b/crates/jaypin_core/src/scheduler/queue.rs
@@ -1,39 +1,40 @@
-//! The single queue of a shard: by tier, then fairly by client account.
+//! The single queue of a shard: ordered by tier, then fairly by client account.
 //!
-//! Within a tier, start-time fair queuing: a request's tag is the virtual time at which
-//! its account's share of the tier begins to serve it. State is kept for accounts with
-//! waiting work only, and the virtual time starts anew when a tier has none waiting.
+//! Each tier uses start-time fair queuing: a request's tag is the virtual time at which its
+//! account's share of the tier begins to serve it. State is kept only for accounts with
+//! waiting work or a recent backlog, and the virtual time restarts when no request of the
+//! tier waits.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
 
 use crate::{AccountId, Ask, HostId, RequestId};
 
-/// Virtual time of one token of an account with share 1.
+/// Virtual time that one token of an account with share 1 takes.
 const VIRTUAL_TIME_PER_TOKEN: f64 = 1_024.0;
 
-/// Accounts without waiting work that a tier keeps before it looks through them.
+/// Number of accounts without waiting work that a tier keeps before it removes idle ones.
 const MIN_IDLE_ACCOUNTS: usize = 64;
 
-/// Order within a tier: start tag, then arrival.
+/// Order within a tier: virtual start time, then sequence of arrival.
 pub type Tag = (u64, u64);
 
-/// A request that waits.
+/// A request that waits for a slot.
 #[derive(Debug)]
 pub struct WaitingRequest {
-    /// Its owner.
+    /// The host that accepted the request.
     pub owner: HostId,
-    /// What was asked.
+    /// The slot request.
     pub ask: Ask,
-    /// When it was asked.
+    /// When the slot request arrived.
     pub queued_at: Instant,
-    /// Tokens that the answer is expected to have.
+    /// Expected length of the answer, in tokens.
     pub answer_tokens: u32,
-    /// Last moment at which a start can still meet the deadline.
+    /// Latest start that can still meet the deadline.
     pub latest_start: Instant,
 }
 
-/// Work in tokens, as prompts and answers.
+/// An amount of work, in prompt and answer tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Work {
     /// Prompt tokens.
@@ -43,13 +44,13 @@
 }
 
 impl Work {
-    /// Adds other work.
+    /// Adds another amount.
     pub fn add(&mut self, other: Self) {
         self.prompt += other.prompt;
         self.answer += other.answer;
     }
 
-    /// A part of this work.
+    /// Returns the amount multiplied by a factor.
     #[must_use]
     pub fn scaled(self, factor: f64) -> Self {
         Self {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// All tokens.
+    /// Returns the total number of tokens.
     #[must_use]
     pub fn tokens(self) -> f64 {
         self.prompt + self.answer
@@ -66,7 +67,7 @@
 }
 
 impl WaitingRequest {
-    /// Its estimated work.
+    /// Returns the estimated work of the request.
     #[must_use]
     pub fn work(&self) -> Work {
         Work {
@@ -85,6 +86,7 @@
     sequence: u64,
 }
 
+/// Where a request stands in the queue.
 #[derive(Debug, Clone, Copy)]
 struct Position {
     tier: u8,
@@ -92,6 +94,7 @@
     latest_start: Instant,
 }
 
+/// Waiting requests of one tier, ordered by start-time fair queuing.
 #[derive(Debug, Default)]
 struct TierQueue {
     requests: BTreeMap<Tag, WaitingRequest>,
@@ -101,6 +104,7 @@
     active_shares: f64,
 }
 
+/// State of one account in a tier.
 #[derive(Debug)]
 struct AccountQueue {
     share: f64,
@@ -110,9 +114,7 @@
 }
 
 impl WaitingQueue {
-    // ------------------------------------------------------------------ changes
-
-    /// Adds a request of an account with a share.
+    /// Adds a request of an account with the given share.
     pub fn push(&mut self, waiting: WaitingRequest, share: f64) {
         self.sequence += 1;
         let tier = self.tiers.entry(waiting.ask.tier).or_default();
@@ -128,7 +130,7 @@
         tier.requests.insert(position.tag, waiting);
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub fn remove(&mut self, id: &RequestId) -> Option<WaitingRequest> {
         let position = self.positions.remove(id)?;
         self.by_latest_start
@@ -139,7 +141,8 @@
         Some(waiting)
     }
 
-    /// Takes a request out to be served: its tier's virtual time moves on to it.
+    /// Removes a request that is granted, and advances its tier's virtual time to the
+    /// request's start tag.
     pub fn take_for_service(&mut self, id: &RequestId) -> Option<WaitingRequest> {
         let position = *self.positions.get(id)?;
         if let Some(tier) = self.tiers.get_mut(&position.tier) {
@@ -148,7 +151,7 @@
         self.remove(id)
     }
 
-    /// Takes the request out that is shed first: the last of the lowest tier.
+    /// Removes the request that is shed first: the last one of the lowest tier.
     pub fn pop_lowest_priority(&mut self) -> Option<WaitingRequest> {
         let id = self
             .tiers
@@ -159,7 +162,7 @@
         self.remove(&id)
     }
 
-    /// Takes a request out whose latest start has passed.
+    /// Removes a request whose latest start has passed, if there is one.
     pub fn pop_late(&mut self, now: Instant) -> Option<WaitingRequest> {
         let ((latest, _), id) = self.by_latest_start.first_key_value()?;
         if *latest > now {
@@ -169,22 +172,20 @@
         self.remove(&id)
     }
 
-    // ------------------------------------------------------------------ views
-
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Finds a request.
+    /// Returns a waiting request.
     #[must_use]
     pub fn get(&self, id: &RequestId) -> Option<&WaitingRequest> {
         let position = self.positions.get(id)?;
         self.tiers.get(&position.tier)?.requests.get(&position.tag)
     }
 
-    /// Ranks of tiers with waiting requests, highest tier first.
+    /// Returns the ranks of tiers with waiting requests, highest tier first.
     pub fn ranks(&self) -> impl Iterator<Item = u8> {
         self.tiers
             .iter()
@@ -192,7 +193,7 @@
             .map(|(rank, _)| *rank)
     }
 
-    /// The requests of a tier in order of service.
+    /// Returns the requests of a tier in order of service.
     pub fn in_order(&self, rank: u8) -> impl Iterator<Item = &WaitingRequest> {
         self.tiers
             .get(&rank)
@@ -200,8 +201,8 @@
             .flat_map(|tier| tier.requests.values())
     }
 
-    /// Work that is served before a request: all of higher tiers, and of its own tier
-    /// what the other accounts' shares bring in before it.
+    /// Returns the work that is served before a request: all work of higher tiers, and the
+    /// work of its own tier that other accounts' shares place before it.
     #[must_use]
     pub fn ahead_of(&self, waiting: &WaitingRequest) -> Work {
         let mut ahead = self.work_above(waiting.ask.tier);
@@ -212,7 +213,7 @@
         ahead
     }
 
-    /// Waiting work of the tiers above a rank.
+    /// Returns the waiting work of the tiers above a rank.
     #[must_use]
     pub fn work_above(&self, rank: u8) -> Work {
         let mut above = Work::default();
@@ -222,7 +223,7 @@
         above
     }
 
-    /// Waiting work of a tier.
+    /// Returns the waiting work of a tier.
     #[must_use]
     pub fn work_of(&self, rank: u8) -> Work {
         self.tiers
@@ -230,7 +231,7 @@
             .map_or_else(Work::default, |tier| tier.work)
     }
 
-    /// Requests of an owner.
+    /// Returns the ids of an owner's waiting requests.
     #[must_use]
     pub fn of_owner(&self, owner: &HostId) -> Vec<RequestId> {
         self.tiers
@@ -243,7 +244,7 @@
 }
 
 impl TierQueue {
-    /// Start tag of a new request; counts it.
+    /// Counts a new request and returns its start tag.
     fn record_arrival(&mut self, waiting: &WaitingRequest, share: f64) -> u64 {
         let work = waiting.work();
         self.work.add(work);
@@ -266,6 +267,7 @@
         start
     }
 
+    /// Subtracts a removed request from the counts of its tier and account.
     fn record_removal(&mut self, waiting: &WaitingRequest) {
         let work = waiting.work().scaled(-1.0);
         self.work.add(work);
@@ -285,7 +287,8 @@
         self.remove_idle_accounts();
     }
 
-    /// Drops accounts that owe nothing once they outnumber those with work.
+    /// Removes accounts that have no waiting work and whose served work lies behind the
+    /// virtual time, once there are many more accounts than waiting requests.
     fn remove_idle_accounts(&mut self) {
         if self.accounts.len() > 2 * self.requests.len() + MIN_IDLE_ACCOUNTS {
             let now = self.virtual_time;
@@ -294,6 +297,7 @@
         }
     }
 
+    /// Returns the work of other accounts in this tier that is served before a request.
     fn ahead_of(&self, waiting: &WaitingRequest) -> Work {
         let own = waiting.work();
         let mut others = self.work;
@@ -301,13 +305,15 @@
         let Some(account) = self.accounts.get(&waiting.ask.account) else {
             return others;
         };
-        // While the account's own backlog is served, each other account gets its share.
+        // While the account's own backlog is served, each other account is served by its
+        // share.
         let served_meanwhile = account.work.tokens() * self.active_shares / account.share;
         let fraction = (served_meanwhile / self.work.tokens().max(1.0)).min(1.0);
         others.scaled(fraction)
     }
 }
 
+/// Returns the virtual time that work takes for an account with a share, at least 1.
 fn virtual_duration(work: Work, share: f64) -> u64 {
     #[expect(
         clippy::cast_possible_truncation,
--- a/crates/jaypin_core/src/scheduler/report.rs
+++ b/crates/jaypin_core/src/scheduler/report.rs
@@ -1,53 +1,53 @@
-//! What a shard's scheduler shows to operators.
+//! The report on a shard that is shown to operators.
 
 use std::time::Instant;
 
 use super::{Backend, Scheduler};
 use crate::{BackendId, Presence, Shard};
 
-/// A shard at one moment.
+/// The state of a shard at one moment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ShardReport {
     /// The shard.
     pub shard: Shard,
-    /// Requests that wait, by rank of their tier.
+    /// Number of waiting requests by rank of their tier.
     pub waiting: Vec<(u8, usize)>,
-    /// Requests that run on slots that it granted.
+    /// Number of requests that run on slots granted by the scheduler.
     pub running: usize,
-    /// Its backend servers.
+    /// The shard's backend servers.
     pub backends: Vec<BackendReport>,
 }
 
-/// A backend server of a shard at one moment.
+/// The state of a backend server at one moment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BackendReport {
     /// The backend server.
     pub backend: BackendId,
-    /// Requests that run there.
+    /// Number of requests that run there.
     pub running: u32,
-    /// Requests that may run there at once, as learned.
+    /// Learned number of requests that may run there at once.
     pub limit: u32,
-    /// Prompt tokens a second, as learned.
+    /// Learned prefill rate, in tokens per second.
     pub prefill_rate: f64,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: BackendState,
 }
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendState {
-    /// It does.
+    /// It accepts new work.
     Live,
-    /// It is leaving.
+    /// It is leaving the fleet and finishes its running requests.
     Leaving,
-    /// It broke off calls and rests.
+    /// It lost calls and gets no work during its cooldown.
     CoolingDown,
-    /// A first token is long overdue.
+    /// A first token is long overdue, so it gets no work until the token arrives.
     Overdue,
 }
 
 impl BackendState {
-    /// The word that operators see.
+    /// Returns the value that is shown to operators.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -60,7 +60,7 @@
 }
 
 impl Scheduler {
-    /// Shows the shard.
+    /// Returns the state of the shard.
     #[must_use]
     pub fn shard_report(&self, now: Instant) -> ShardReport {
         let gap = self.strict_gap();
--- a/crates/jaypin_core/src/scheduler/running.rs
+++ b/crates/jaypin_core/src/scheduler/running.rs
@@ -1,61 +1,62 @@
-//! The grants that are in use, and when to look after each.
+//! The grants in use, and when each of them is checked.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
 use crate::{AccountId, BackendId, GrantNumber, HostId, InFlight, RequestId};
 
-/// Time after a grant without a first token until its owner is asked for it.
+/// Time after a grant without a first token until its owner is asked to confirm it.
 const UNUSED_GRANT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause between two such questions.
+/// Time between two confirmation requests for the same grant.
 const CONFIRM_INTERVAL: Duration = Duration::from_secs(15);
-/// Time that backend servers get, at least, to end what a lost owner had running.
+/// Minimum time that backend servers have to end the requests of a lost owner.
 const LOST_OWNER_GRACE: Duration = Duration::from_secs(2);
 
 /// A grant in use.
 #[derive(Debug)]
 pub struct RunningGrant {
-    /// Its number.
+    /// Number of the grant.
     pub number: GrantNumber,
-    /// The ask it answered.
+    /// Number of the slot request that it answers; 0 for an adopted grant.
     pub attempt: u32,
-    /// Who uses it.
+    /// The host that uses it.
     pub owner: HostId,
-    /// Where it runs.
+    /// The backend server.
     pub backend: BackendId,
-    /// Whose it is.
+    /// Client account of the request.
     pub account: AccountId,
-    /// Rank of its tier.
+    /// Rank of the request's tier.
     pub tier: u8,
-    /// When it was granted, or adopted.
+    /// When it was granted or adopted.
     pub granted_at: Instant,
-    /// When it is expected to have ended.
+    /// When the request is expected to have ended.
     pub expected_end: Instant,
-    /// When its first token came.
+    /// When the first token arrived; `None` before.
     pub first_token_at: Option<Instant>,
-    /// Streams times seconds of its backend server at its first token.
+    /// Stream-seconds of its backend server at the first token.
     pub stream_seconds_at_first_token: f64,
-    /// When to look after it.
+    /// When the grant is checked next.
     pub check_at: Instant,
 }
 
-/// What is to be done about a grant that nothing was heard of for long.
+/// The action that is due for a grant without recent progress.
 #[derive(Debug)]
 pub enum DueCheck {
-    /// Its owner is lost and the backend server had time to end it.
+    /// The owner is lost and the backend server had time to end the request: free the
+    /// grant.
     Free(RequestId),
-    /// Its owner is to be asked.
+    /// Ask the owner whether it still uses the grant.
     Confirm {
         /// The owner.
         owner: HostId,
         /// The request.
         id: RequestId,
-        /// The grant.
+        /// Number of the grant.
         number: GrantNumber,
     },
 }
 
-/// All grants in use.
+/// All grants in use, with the times at which they are checked.
 #[derive(Debug, Default)]
 pub struct RunningTable {
     by_id: HashMap<RequestId, RunningGrant>,
@@ -65,9 +66,7 @@
 }
 
 impl RunningTable {
-    // ------------------------------------------------------------------ changes
-
-    /// Adds a grant.
+    /// Adds a grant and schedules its first check.
     pub fn insert(&mut self, id: RequestId, mut run: RunningGrant) {
         run.check_at = run.granted_at + UNUSED_GRANT_TIMEOUT;
         self.checks.insert((run.check_at, id.clone()));
@@ -75,7 +74,7 @@
         self.by_id.insert(id, run);
     }
 
-    /// Adds what an owner has running from before this scheduler's time.
+    /// Adds a grant of an earlier scheduler that an owner reported.
     pub fn adopt(&mut self, owner: &HostId, entry: InFlight, now: Instant) {
         let run = RunningGrant {
             number: entry.number,
@@ -93,7 +92,7 @@
         self.insert(entry.id, run);
     }
 
-    /// Takes a grant out.
+    /// Removes a grant.
     pub fn remove(&mut self, id: &RequestId) -> Option<RunningGrant> {
         let run = self.by_id.remove(id)?;
         self.checks.remove(&(run.check_at, id.clone()));
@@ -103,14 +102,14 @@
         Some(run)
     }
 
-    /// Marks an owner as lost: its grants are freed once they must have ended.
+    /// Marks an owner as lost: its grants are freed once their requests must have ended.
     pub fn mark_owner_lost(&mut self, owner: &HostId, now: Instant) {
         self.lost_owners.insert(owner.clone());
         let earliest = now + LOST_OWNER_GRACE;
         self.reschedule(owner, |run| run.expected_end.max(earliest));
     }
 
-    /// Marks an owner as reachable again: its grants are confirmed.
+    /// Marks an owner as reachable again, and schedules checks of its grants.
     pub fn mark_owner_recovered(&mut self, owner: &HostId, now: Instant) {
         if self.lost_owners.remove(owner) {
             self.reschedule(owner, |_| now);
@@ -126,7 +125,7 @@
         }
     }
 
-    /// Takes the next grant that is to be looked after.
+    /// Returns the next action that is due, and reschedules the check of its grant.
     pub fn pop_due(&mut self, now: Instant) -> Option<DueCheck> {
         while self.checks.first()?.0 <= now {
             let (_, id) = self.checks.pop_first()?;
@@ -151,50 +150,48 @@
         None
     }
 
-    // ------------------------------------------------------------------ views
-
-    /// Grants in use.
+    /// Returns the number of grants in use.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether a request runs.
+    /// Returns whether a request has a grant.
     #[must_use]
     pub fn contains(&self, id: &RequestId) -> bool {
         self.by_id.contains_key(id)
     }
 
-    /// Whether a request runs on the grant of that number.
+    /// Returns whether a request uses the grant of that number.
     #[must_use]
     pub fn has_grant(&self, id: &RequestId, number: GrantNumber) -> bool {
         self.by_id.get(id).is_some_and(|run| run.number == number)
     }
 
-    /// The ask that a request's grant answered.
+    /// Returns the number of the slot request that a request's grant answers.
     #[must_use]
     pub fn attempt(&self, id: &RequestId) -> Option<u32> {
         self.by_id.get(id).map(|run| run.attempt)
     }
 
-    /// Finds a grant.
+    /// Returns the grant of a request.
     #[must_use]
     pub fn get(&self, id: &RequestId) -> Option<&RunningGrant> {
         self.by_id.get(id)
     }
 
-    /// Finds a grant to change it; its tier and check time stay.
+    /// Returns the grant of a request for changes; its tier and check time must stay.
     pub fn get_mut(&mut self, id: &RequestId) -> Option<&mut RunningGrant> {
         self.by_id.get_mut(id)
     }
 
-    /// Grants in use by a tier.
+    /// Returns the number of grants in use by a tier.
     #[must_use]
     pub fn of_tier(&self, rank: u8) -> u32 {
         self.by_tier.get(&rank).copied().unwrap_or_default()
     }
 
-    /// Grants in use on a backend server.
+    /// Returns the number of grants in use on a backend server.
     #[must_use]
     pub fn on_backend(&self, backend: &BackendId) -> usize {
         self.by_id
--- a/crates/jaypin_core/src/shard.rs
+++ b/crates/jaypin_core/src/shard.rs
@@ -1,4 +1,4 @@
-//! Shards: groups of backend servers of one service with a single scheduler each.
+//! Shards: groups of backend servers of one service, each with a single scheduler.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,12 +6,12 @@
 use crate::rendezvous::{rank_by_score, score};
 use crate::{BackendId, BackendRecord, ServiceId};
 
-/// Name of a shard.
+/// Identifies a shard.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Shard {
-    /// The service.
+    /// The service that the shard belongs to.
     pub service: ServiceId,
-    /// Number within the service, from 0.
+    /// Number of the shard within its service, from 0.
     pub index: u16,
 }
 
@@ -21,9 +21,9 @@
     }
 }
 
-/// Which backend server belongs to which shard.
+/// The assignment of backend servers to shards.
 ///
-/// Every host derives the same map from the same host list.
+/// Every host computes the same map from the same host list.
 #[derive(Debug, Clone, Default)]
 pub struct ShardMap {
     members: BTreeMap<Shard, Vec<BackendId>>,
@@ -31,10 +31,10 @@
 }
 
 impl ShardMap {
-    /// Spreads backend servers over shards of at most `size`.
+    /// Distributes backend servers over shards with at most `size` members each.
     ///
-    /// Each goes to the shard that scores highest for it and still has room, so one
-    /// more or less moves few others.
+    /// Each backend server goes to the shard with the highest score for it among those that
+    /// still have room, so adding or removing one moves few others.
     #[must_use]
     pub fn build(backends: &[BackendRecord], size: usize) -> Self {
         let mut by_service: BTreeMap<&ServiceId, Vec<&BackendId>> = BTreeMap::new();
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The shards of a service, in order.
+    /// Returns the shards of a service in ascending order.
     pub fn of_service(&self, service: &ServiceId) -> impl Iterator<Item = &Shard> {
         let first = Shard {
             service: service.clone(),
@@ -88,18 +88,18 @@
         self.members.range(first..=last).map(|(shard, _)| shard)
     }
 
-    /// All shards with their backend servers.
+    /// Returns all shards with their backend servers.
     pub fn iter(&self) -> impl Iterator<Item = (&Shard, &Vec<BackendId>)> {
         self.members.iter()
     }
 
-    /// The backend servers of a shard.
+    /// Returns the backend servers of a shard; empty when the shard is unknown.
     #[must_use]
     pub fn members(&self, shard: &Shard) -> &[BackendId] {
         self.members.get(shard).map_or(&[], Vec::as_slice)
     }
 
-    /// The shard of a backend server.
+    /// Returns the shard of a backend server.
     #[must_use]
     pub fn shard_of(&self, backend: &str) -> Option<&Shard> {
         self.shard_of_backend.get(backend)
--- a/crates/jaypin_core/src/token_gaps.rs
+++ b/crates/jaypin_core/src/token_gaps.rs
@@ -1,28 +1,30 @@
-//! Time between tokens of one backend server, by the number of streams it runs.
+//! A model of the time between tokens (the gap) of one backend server, by the number of
+//! streams that it runs.
 
 use std::time::Instant;
 
-/// Time between tokens that is assumed before anything was seen, in seconds.
+/// Initial estimate of the time between tokens, in seconds.
 const INITIAL_GAP_SECONDS: f64 = 0.02;
-/// Share by which a further stream is assumed to lengthen the gap.
+/// Initial estimate of the fraction by which each further stream lengthens the gap.
 const INITIAL_GROWTH: f64 = 0.05;
-/// Bounds of the learned share.
+/// Lower and upper bound of the learned growth.
 const GROWTH_BOUNDS: (f64, f64) = (0.001, 1.0);
-/// Weight of a long stream in the running average of the gap.
+/// Weight of a long stream in the moving average of the gap.
 const GAP_LEARNING_RATE: f64 = 0.4;
-/// Tokens from which a stream has full weight.
+/// Number of gaps from which a stream has full weight.
 const FULL_WEIGHT_GAPS: f64 = 40.0;
-/// Step of the correction of the growth.
+/// Step size of the correction of the growth.
 const GROWTH_LEARNING_RATE: f64 = 0.1;
-/// A single stream counts as at most this many times the expected gap: a caller that
-/// reads slowly stretches its own stream and must not condemn the backend server.
+/// Upper bound of an observed gap, as a multiple of the expected one. A caller that reads
+/// slowly lengthens the gaps of its own stream and must not make the backend server look
+/// slow.
 const MAX_GAP_RATIO: f64 = 4.0;
-/// Finished streams after which the learned pace is believed.
+/// Finished streams from which the learned gap is used to raise the slow-start limit.
 const MIN_OBSERVED_STREAMS: u32 = 4;
-/// Part of a gap target that is planned for.
+/// Fraction of a gap target up to which streams are planned.
 const GAP_TARGET_FRACTION: f64 = 0.9;
 
-/// Learned pace: `gap(n) = base * (1 + growth * (n - 1))` for n streams.
+/// Learned gap with `n` streams: `gap(n) = base * (1 + growth * (n - 1))`.
 #[derive(Debug, Clone)]
 pub struct TokenGapModel {
     base: f64,
@@ -47,13 +49,14 @@
 }
 
 impl TokenGapModel {
-    /// Expected gap in seconds with `streams` running.
+    /// Returns the expected gap in seconds while `streams` are running.
     #[must_use]
     pub fn gap(&self, streams: u32) -> f64 {
         self.base * (1.0 + self.growth * f64::from(streams.saturating_sub(1)))
     }
 
-    /// Most streams whose gap stays below a target, at least one.
+    /// Returns the largest number of streams whose gap stays below `target` seconds, at
+    /// least 1.
     #[must_use]
     pub fn max_streams(&self, target: f64) -> u32 {
         let streams = 1.0 + (target * GAP_TARGET_FRACTION / self.base - 1.0) / self.growth;
@@ -66,26 +69,27 @@
         streams
     }
 
-    /// Whether enough streams have ended for the learned pace to be believed.
+    /// Returns whether enough streams have finished for the learned gap to be reliable.
     #[must_use]
     pub fn has_enough_samples(&self) -> bool {
         self.observed_streams >= MIN_OBSERVED_STREAMS
     }
 
-    /// Whether even a single stream is slower than a target.
+    /// Returns whether the gap exceeds `target` seconds even with a single stream.
     #[must_use]
     pub fn single_stream_exceeds(&self, target: f64) -> bool {
         self.base > target
     }
 
-    /// Counts a new number of running streams from now on.
+    /// Sets the number of running streams from `now` on.
     pub fn set_running(&mut self, running: u32, now: Instant) {
         self.stream_seconds = self.stream_seconds_at(now);
         self.running = running;
         self.changed_at = Some(now);
     }
 
-    /// Streams times seconds up to now.
+    /// Returns the integral of the number of running streams over time up to `now`, in
+    /// stream-seconds.
     #[must_use]
     pub fn stream_seconds_at(&self, now: Instant) -> f64 {
         let since = self
@@ -94,7 +98,8 @@
         self.stream_seconds + f64::from(self.running) * since
     }
 
-    /// Learns from a stream of `tokens` gaps in `seconds` beside `streams` on average.
+    /// Updates the model from a finished stream that had `gaps` gaps in `seconds`, while
+    /// `streams` were running on average.
     pub fn record_stream(&mut self, gaps: u32, seconds: f64, streams: f64) {
         self.observed_streams = self.observed_streams.saturating_add(1);
         if gaps == 0 || seconds <= 0.0 {
