--- a/crates/jaypin_core/examples/capacity.rs
+++ b/crates/jaypin_core/examples/capacity.rs
@@ -1,5 +1,5 @@
-//! Measures what one host's decisions cost as the fleet grows: memory by role, processor
-//! time by event. `docs/CAPACITY.md` is worked out from its output.
+//! Measures the cost of one host's decisions as the fleet grows: memory by role, processor
+//! time by event. The figures in `docs/CAPACITY.md` are derived from its output.
 //!
 //!     cargo run --release -p jaypin_core --example capacity
 
@@ -18,31 +18,34 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Requests in one timed run.
-const REQUESTS: u32 = 20_000;
-/// Requests that a host has running at once at the size designed for.
-const RUNNING: u32 = 120;
-/// Repeats of a timed run; the spread is printed.
+/// Number of requests in one repeat, including those that only fill the host.
+const TIMED_REQUESTS: u32 = 20_000;
+/// Requests that a host has running at the same time at the designed fleet size.
+const RUNNING_REQUESTS: u32 = 120;
+/// Repeats of each measurement; the spread between them is printed.
 const REPEATS: usize = 5;
 
 fn main() {
     println!("| what | size | figure | spread |\n|---|---|---|---|");
     for accounts in [5, 500, 17_000] {
-        rules_cost(accounts);
+        rule_cost(accounts);
     }
     for (hosts, backends) in [(13, 20), (39, 60), (120, 200), (370, 600)] {
-        view_cost(hosts, backends);
+        membership_cost(hosts, backends);
     }
     for (hosts, backends) in [(13, 20), (39, 60), (120, 200), (370, 600)] {
         request_cost(hosts, backends);
     }
 }
 
-fn row(what: &str, size: &str, mut figures: Vec<f64>, unit: &str) {
+/// Prints the median, the minimum and the maximum of the figures as a row of a Markdown
+/// table.
+
+fn print_row(what: &str, size: &str, mut figures: Vec<f64>, unit: &str) {
     figures.sort_by(f64::total_cmp);
-    let middle = figures[figures.len() / 2];
-    let (least, most) = (figures[0], figures[figures.len() - 1]);
-    println!("| {what} | {size} | {middle:.1} {unit} | {least:.1} to {most:.1} |");
+    let median = figures[figures.len() / 2];
+    let (min, max) = (figures[0], figures[figures.len() - 1]);
+    println!("| {what} | {size} | {median:.1} {unit} | {min:.1} to {max:.1} |");
 }
 
 fn rule_text(accounts: usize) -> String {
@@ -64,7 +67,9 @@
     text
 }
 
-fn rules_cost(accounts: usize) {
+/// Measures the time to parse a rule file and the memory of the parsed rules.
+
+fn rule_cost(accounts: usize) {
     let text = rule_text(accounts);
     let size = format!("{accounts} accounts, {} KB of text", text.len() / 1024);
     let mut times = Vec::new();
@@ -72,16 +77,18 @@
     for _ in 0..REPEATS {
         let region = Region::new(ALLOCATOR);
         let start = Instant::now();
-        let rules = jaypin_rules::parse(&text).expect("good rules");
+        let rules = jaypin_rules::parse(&text).expect("the generated rules are valid");
         times.push(millis(start.elapsed()));
-        bytes.push(kept(&region));
+        bytes.push(retained_kib(&region));
         drop(rules);
     }
-    row("reading a rule file", &size, times, "ms");
-    row("memory of its rules", &size, bytes, "KB");
+    print_row("reading a rule file", &size, times, "ms");
+    print_row("memory of its rules", &size, bytes, "KB");
 }
 
-fn view_cost(hosts: usize, backends: usize) {
+/// Measures the time to apply a host list and the memory of the membership tables.
+
+fn membership_cost(hosts: usize, backends: usize) {
     let size = format!("{hosts} hosts, {backends} backend servers");
     let mut times = Vec::new();
     let mut bytes = Vec::new();
@@ -89,18 +96,18 @@
         let region = Region::new(ALLOCATOR);
         let mut reducer = Reducer::new(config(repeat));
         reducer.apply(Instant::now(), Event::Hosts(host_list(1, hosts, backends)));
-        bytes.push(kept(&region));
+        bytes.push(retained_kib(&region));
         let list = host_list(2, hosts, backends);
         let start = Instant::now();
         reducer.apply(start, Event::Hosts(list));
         times.push(millis(start.elapsed()));
     }
-    row("taking a new host list", &size, times, "ms");
-    row("memory of membership and shards", &size, bytes, "KB");
+    print_row("applying a new host list", &size, times, "ms");
+    print_row("memory of membership and shards", &size, bytes, "KB");
 }
 
-/// One request on its owner, from arrival to its end, its shard scheduler being the host
-/// itself or a peer that grants at once.
+/// Measures one request on its owner, from arrival to end, where the shard scheduler is the
+/// host itself or a peer that grants immediately.
 fn request_cost(hosts: usize, backends: usize) {
     let size = format!("{hosts} hosts, {backends} backend servers");
     let mut times = Vec::new();
@@ -109,29 +116,32 @@
         let mut reducer = Reducer::new(config(repeat));
         let start = Instant::now();
         reducer.apply(start, Event::Hosts(host_list(1, hosts, backends)));
-        let rules = Arc::new(jaypin_rules::parse(&rule_text(5)).expect("good rules"));
+        let rules = Arc::new(jaypin_rules::parse(&rule_text(5)).expect("the generated rules are valid"));
         reducer.apply(start, Event::Rules { version: 1, rules });
         let region = Region::new(ALLOCATOR);
-        for index in 0..RUNNING {
-            begin(&mut reducer, start, index);
+        for index in 0..RUNNING_REQUESTS {
+            start_request(&mut reducer, start, index);
         }
-        bytes.push(kept(&region) / f64::from(RUNNING));
-        let begun = Instant::now();
-        for index in RUNNING..REQUESTS {
+        bytes.push(retained_kib(&region) / f64::from(RUNNING_REQUESTS));
+        let timed_from = Instant::now();
+        for index in RUNNING_REQUESTS..TIMED_REQUESTS {
             let now = start + Duration::from_millis(u64::from(index) * 250);
-            begin(&mut reducer, now, index);
-            end(&mut reducer, now, index - RUNNING);
+            start_request(&mut reducer, now, index);
+            finish_request(&mut reducer, now, index - RUNNING_REQUESTS);
             if index % 10 == 0 {
                 reducer.apply(now, Event::Tick);
             }
         }
-        times.push(begun.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS - RUNNING));
+        times.push(
+            timed_from.elapsed().as_secs_f64() * 1e6 / f64::from(TIMED_REQUESTS - RUNNING_REQUESTS),);
     }
-    row("one request on its owner, start to end", &size, times, "us");
-    row("memory of a running request", &size, bytes, "KB");
+    print_row("one request on its owner, start to end", &size, times, "us");
+    print_row("memory of a running request", &size, bytes, "KB");
 }
 
-fn begin(reducer: &mut Reducer, now: Instant, index: u32) {
+/// Applies the arrival of a request and, if a peer leads its shard, the peer's grant.
+
+fn start_request(reducer: &mut Reducer, now: Instant, index: u32) {
     let fx = reducer.apply(now, Event::Arrived(request(index)));
     for effect in fx {
         let Effect::Send {
@@ -163,7 +173,9 @@
     }
 }
 
-fn end(reducer: &mut Reducer, now: Instant, index: u32) {
+/// Applies the progress of a call up to its complete response.
+
+fn finish_request(reducer: &mut Reducer, now: Instant, index: u32) {
     let outcome = CallOutcome::Complete;
     for progress in [
         CallProgress::Sent,
@@ -237,8 +249,10 @@
     }
 }
 
+/// Returns the memory in KiB that was allocated in the region and is not freed yet.
+
 #[expect(clippy::cast_precision_loss, reason = "sizes are far below 2^52")]
-fn kept(region: &Region<'_, System>) -> f64 {
+fn retained_kib(region: &Region<'_, System>) -> f64 {
     let stats = region.change();
     stats
         .bytes_allocated
