--- a/crates/jaypin_core/src/backend_model.rs
+++ b/crates/jaypin_core/src/backend_model.rs
@@ -55,15 +55,22 @@
     pub presence: Presence,
     /// Learned time between tokens.
     pub token_gaps: TokenGapModel,
+    /// Streams allowed so far; the limit starts low and rises with first tokens.
     slow_start_limit: u32,
+    /// Reported requests that this scheduler didn't grant.
     external_load: u32,
+    /// Decayed sum of prefilled tokens; over `prefill_seconds`, it gives the prefill rate.
     prefill_tokens: f64,
+    /// Decayed sum of prefill times, in seconds.
     prefill_seconds: f64,
+    /// Prompts without a first token, by sequence number of the grant.
     pending_prefills: BTreeMap<u64, PendingPrefill>,
     last_first_token: Option<Instant>,
     cooldown_until: Option<Instant>,
     consecutive_losses: u32,
+    /// Most requests running at once since the last load report.
     current_peak: u32,
+    /// Peaks between earlier load reports, by the time of the report.
     peaks: VecDeque<(Instant, u32)>,
     reported_leaving: bool,
     last_grant_at: Option<Instant>,
--- a/crates/jaypin_core/src/local.rs
+++ b/crates/jaypin_core/src/local.rs
@@ -15,13 +15,13 @@
 #[must_use]
 pub fn share_of(record: &BackendRecord, host: &HostId, hosts: &[HostId]) -> Option<BackendRecord> {
     let count = u32::try_from(hosts.len()).unwrap_or(u32::MAX).max(1);
-    let own = score(&record.id, host);
-    let before = hosts
+    let own_score = score(&record.id, host);
+    let better_ranked = hosts
         .iter()
-        .filter(|other| *other != host && score(&record.id, other) > own)
+        .filter(|other| *other != host && score(&record.id, other) > own_score)
         .count();
-    let rest = (record.slots % count) as usize;
-    let slots = record.slots / count + u32::from(before < rest);
+    let remainder = (record.slots % count) as usize;
+    let slots = record.slots / count + u32::from(better_ranked < remainder);
     (slots > 0).then(|| BackendRecord {
         slots,
         ..record.clone()
--- a/crates/jaypin_core/src/prefix_index.rs
+++ b/crates/jaypin_core/src/prefix_index.rs
@@ -29,14 +29,17 @@
 
 /// The prefixes that one backend server was recently sent.
 ///
-/// The index is built from grants alone; when a backend server drops a cache entry that the
-/// index still lists, the cost is a prefill and never a wrong answer. Fingerprints are
-/// salted by client account, so they never match across accounts. Age is measured in tokens
-/// that the cache had to ingest, because these cause evictions.
+/// The index is built from grants alone. A cache change that it misses costs a prefill and
+/// never a wrong answer. Fingerprints are salted by client account, so they never match
+/// across accounts. Age is measured in tokens that the cache had to ingest, because these
+/// cause evictions.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixIndex {
+    /// Last use by fingerprint.
     last_uses: HashMap<u64, LastUse>,
+    /// Fingerprints in order of their last use.
     by_use: BTreeMap<(u64, u64), u64>,
+    /// Uncached tokens of all grants so far.
     admitted_tokens: u64,
     sequence: u64,
 }
--- a/crates/jaypin_core/src/quarantine.rs
+++ b/crates/jaypin_core/src/quarantine.rs
@@ -85,8 +85,8 @@
         hold: Duration,
     ) -> Option<Duration> {
         let suspect = self.suspects.get(&fingerprint)?;
-        let left = (suspect.last_crash_at + hold).checked_duration_since(now)?;
-        (suspect.crash_count >= limit.max(1) && !left.is_zero()).then_some(left)
+        let remaining = (suspect.last_crash_at + hold).checked_duration_since(now)?;
+        (suspect.crash_count >= limit.max(1) && !remaining.is_zero()).then_some(remaining)
     }
 
     /// Records a fingerprint's crash count, from a peer or from an evaluated crash, and
@@ -172,8 +172,8 @@
     pub fn most_recent(&self, max: usize) -> Vec<(u64, u32)> {
         let mut all: Vec<_> = self.suspects.iter().collect();
         all.sort_unstable_by_key(|(_, suspect)| std::cmp::Reverse(suspect.last_crash_at));
-        let newest = all.into_iter().take(max);
-        newest
+        let most_recent = all.into_iter().take(max);
+        most_recent
             .map(|(fingerprint, suspect)| (*fingerprint, suspect.crash_count))
             .collect()
     }
--- a/crates/jaypin_core/src/rule_index.rs
+++ b/crates/jaypin_core/src/rule_index.rs
@@ -76,8 +76,8 @@
     /// defines.
     #[must_use]
     pub fn tier(&self, rank: u8) -> TierTargets {
-        let found = self.tiers.iter().find(|tier| tier.rank == rank);
-        found.cloned().unwrap_or(TierTargets {
+        let known = self.tiers.iter().find(|tier| tier.rank == rank);
+        known.cloned().unwrap_or(TierTargets {
             rank,
             first_token: DEFAULT_FIRST_TOKEN,
             gap: DEFAULT_GAP,
--- a/crates/jaypin_core/src/scheduler/estimate.rs
+++ b/crates/jaypin_core/src/scheduler/estimate.rs
@@ -124,7 +124,7 @@
 
     pub(super) fn capacity(&self, now: Instant) -> Capacity {
         let gap = self.strict_gap();
-        let mut all = Capacity {
+        let mut capacity = Capacity {
             shortest_backlog: f64::MAX,
             shortest_gap: f64::MAX,
             ..Capacity::default()
@@ -132,14 +132,14 @@
         for backend in self.live_backends() {
             let model = &backend.model;
             let limit = model.limit(gap);
-            all.slots += f64::from(limit);
-            all.prefill_rate += model.prefill_rate();
-            all.answer_rate += f64::from(limit) / model.token_gaps.gap(limit);
-            all.shortest_backlog = all.shortest_backlog.min(model.prefill_backlog(now));
-            all.fastest_prefill_rate = all.fastest_prefill_rate.max(model.prefill_rate());
-            all.shortest_gap = all.shortest_gap.min(model.token_gaps.gap(1));
+            capacity.slots += f64::from(limit);
+            capacity.prefill_rate += model.prefill_rate();
+            capacity.answer_rate += f64::from(limit) / model.token_gaps.gap(limit);
+            capacity.shortest_backlog = capacity.shortest_backlog.min(model.prefill_backlog(now));
+            capacity.fastest_prefill_rate = capacity.fastest_prefill_rate.max(model.prefill_rate());
+            capacity.shortest_gap = capacity.shortest_gap.min(model.token_gaps.gap(1));
         }
-        all
+        capacity
     }
 
     /// Returns how long a request can wait before it misses its deadline even on the
@@ -148,17 +148,17 @@
         if self.is_plain || self.backends.is_empty() {
             return waiting.ask.first_token_due_in;
         }
-        let best = self.live_backends().map(|backend| {
+        let fastest = self.live_backends().map(|backend| {
             let prefill = backend.model.estimated_prefill(waiting.ask.prompt_tokens);
             let answer = f64::from(waiting.answer_tokens) * backend.model.token_gaps.gap(1);
             (prefill, prefill + answer)
         });
-        let (first, whole) = best
+        let (first_token, response) = fastest
             .reduce(|a, b| (a.0.min(b.0), a.1.min(b.1)))
             .unwrap_or_default();
-        let first = waiting.ask.first_token_due_in.as_secs_f64() - first;
-        let whole = waiting.ask.response_due_in.as_secs_f64() - whole;
-        Duration::from_secs_f64(first.min(whole).max(0.0))
+        let first_token = waiting.ask.first_token_due_in.as_secs_f64() - first_token;
+        let response = waiting.ask.response_due_in.as_secs_f64() - response;
+        Duration::from_secs_f64(first_token.min(response).max(0.0))
     }
 
     /// Returns whether the estimated start of a request is later than its latest start, so
@@ -172,11 +172,11 @@
     /// Returns the slots that arrivals of the tiers above a rank occupy at their current
     /// rate.
     pub(super) fn slots_needed_above(&self, rank: u8, now: Instant) -> f64 {
-        let all = self.capacity(now);
-        if self.is_plain || all.slots <= 0.0 {
+        let capacity = self.capacity(now);
+        if self.is_plain || capacity.slots <= 0.0 {
             return 0.0;
         }
-        all.slots_for(self.demand.rate_above(rank, now))
+        capacity.slots_for(self.demand.rate_above(rank, now))
     }
 
     /// Returns the expected wait of a new request of a tier; owners use it as a hint.
@@ -189,22 +189,22 @@
     /// Returns the estimated seconds until work is served, limited by slots or by prefill,
     /// whichever takes longer, with the capacity that arrivals of higher tiers leave.
     fn wait(&self, ahead: Work, rank: u8, now: Instant) -> f64 {
-        let all = self.capacity(now);
-        if all.slots <= 0.0 {
+        let capacity = self.capacity(now);
+        if capacity.slots <= 0.0 {
             return f64::MAX;
         }
-        let next_slot = self.demand.mean_hold_seconds / all.slots;
+        let next_slot = self.demand.mean_hold_seconds / capacity.slots;
         if self.is_plain {
             return next_slot;
         }
         let above = self.demand.rate_above(rank, now);
         let slot_seconds = |work: Work| {
-            work.answer / all.answer_rate + work.prompt / all.fastest_prefill_rate / all.slots
+            work.answer / capacity.answer_rate + work.prompt / capacity.fastest_prefill_rate / capacity.slots
         };
         let slots_left = (1.0 - slot_seconds(above)).max(MIN_CAPACITY_FRACTION);
-        let prefill_left = (1.0 - above.prompt / all.prefill_rate).max(MIN_CAPACITY_FRACTION);
+        let prefill_left = (1.0 - above.prompt / capacity.prefill_rate).max(MIN_CAPACITY_FRACTION);
         let by_slots = (slot_seconds(ahead) + next_slot) / slots_left;
-        let by_prefill = ahead.prompt / all.prefill_rate / prefill_left + all.shortest_backlog;
+        let by_prefill = ahead.prompt / capacity.prefill_rate / prefill_left + capacity.shortest_backlog;
         by_slots.max(by_prefill)
     }
 
@@ -224,7 +224,6 @@
     }
 
     /// Refuses a request and states a time to a retry of about `wait`, with jitter.
-
     pub(super) fn refuse_after(
         &mut self,
         waiting: &WaitingRequest,
--- a/crates/jaypin_core/src/scheduler/grants.rs
+++ b/crates/jaypin_core/src/scheduler/grants.rs
@@ -55,11 +55,15 @@
 #[derive(Debug, Clone)]
 struct Placement {
     backend: BackendId,
+    /// Rating in seconds; the lowest one wins.
     score: f64,
     /// Prefill tokens that another backend server would save.
     avoidable_tokens: u32,
+    /// Estimated time to the first token, in seconds.
     first_token: f64,
+    /// Requests that the backend server runs.
     running: u32,
+    /// Requests that the backend server may run at once.
     limit: u32,
 }
 
@@ -67,8 +71,11 @@
 #[derive(Debug)]
 struct Round {
     now: Instant,
+    /// Shortest target of all tiers for the time between tokens, in seconds.
     strict_gap: f64,
+    /// Whether any live backend server keeps the strict gap with a single stream.
     has_fast_backend: bool,
+    /// Free slots of the backend servers that keep the strict gap.
     free_strict_slots: u32,
     /// Whether all slots that are left are reserved for higher tiers.
     is_reserved: bool,
@@ -185,23 +192,23 @@
             other.rank < tier.rank && tier.first_token >= DEFERRABLE_FACTOR * other.first_token
         };
         let urgent = self.rules.tiers().iter().filter(is_urgent);
-        let Some(last) = urgent.clone().map(|other| other.rank).max() else {
+        let Some(lowest_urgent) = urgent.clone().map(|other| other.rank).max() else {
             return 0;
         };
         let running: u32 = urgent.map(|other| self.running.of_tier(other.rank)).sum();
-        let needed = self.slots_needed_above(last + 1, now);
+        let needed = self.slots_needed_above(lowest_urgent + 1, now);
         if needed < MIN_NEEDED_SLOTS {
             return 0;
         }
         let reserved = needed + BURST_FACTOR * needed.sqrt();
-        let left =
+        let unused =
             reserved.min(self.capacity(now).slots * MAX_RESERVED_FRACTION) - f64::from(running);
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a small positive count, rounded up"
         )]
-        let slots = left.max(0.0).ceil() as u32;
+        let slots = unused.max(0.0).ceil() as u32;
         slots
     }
 
@@ -238,17 +245,16 @@
             .iter()
             .filter(|tier| tier.minimum_share > 0.0)
         {
-            let Some(head) = self.queue.in_order(tier.rank).next() else {
+            let Some(next) = self.queue.in_order(tier.rank).next() else {
                 continue;
             };
-            let most = head.work().tokens() * MAX_CREDIT;
+            let max_credit = next.work().tokens() * MAX_CREDIT;
             let credit = self.minimum_credit.entry(tier.rank).or_default();
-            *credit = (*credit + tokens * tier.minimum_share).min(most);
+            *credit = (*credit + tokens * tier.minimum_share).min(max_credit);
         }
     }
 
     /// Returns the best placements of a request, lowest score first.
-
     fn placements(
         &self,
         waiting: &WaitingRequest,
@@ -268,10 +274,10 @@
             ) else {
                 continue;
             };
-            let place = best.partition_point(|other| other.score <= placement.score);
-            if place < EXPLAINED_CANDIDATES {
+            let index = best.partition_point(|other| other.score <= placement.score);
+            if index < EXPLAINED_CANDIDATES {
                 placement.backend = id.clone();
-                best.insert(place, placement);
+                best.insert(index, placement);
                 best.truncate(EXPLAINED_CANDIDATES);
             }
         }
@@ -303,9 +309,7 @@
         let first_token = backlog + prefill;
         let max_backlog = if tier.first_token
             >= DEFERRABLE_FACTOR
-                * tolerable_delay.map_or(f64::MAX, |tolerable_delay| {
-                    tolerable_delay / PREFILL_DELAY_FRACTION
-                }) {
+                * tolerable_delay.map_or(f64::MAX, |delay| delay / PREFILL_DELAY_FRACTION) {
             MAX_DEFERRABLE_BACKLOG
         } else {
             tolerable_delay.unwrap_or(f64::MAX)
@@ -313,15 +317,15 @@
         if backlog > max_backlog {
             return None;
         }
-        if tolerable_delay.is_some_and(|tolerable_delay| {
-            self.would_delay_higher_tiers(backend, first_token, tolerable_delay, round.now)
+        if tolerable_delay.is_some_and(|delay| {
+            self.would_delay_higher_tiers(backend, first_token, delay, round.now)
         }) {
             return None;
         }
         let answer = f64::from(waiting.answer_tokens) * model.token_gaps.gap(model.running + 1);
-        let spent = round.now.saturating_duration_since(waiting.queued_at);
-        let first_token_time_left = waiting.ask.first_token_due_in.saturating_sub(spent);
-        let response_time_left = waiting.ask.response_due_in.saturating_sub(spent);
+        let elapsed = round.now.saturating_duration_since(waiting.queued_at);
+        let first_token_time_left = waiting.ask.first_token_due_in.saturating_sub(elapsed);
+        let response_time_left = waiting.ask.response_due_in.saturating_sub(elapsed);
         if first_token > first_token_time_left.as_secs_f64()
             || first_token + answer > response_time_left.as_secs_f64()
         {
@@ -380,7 +384,6 @@
     }
 
     /// Returns the prompt tokens that a backend server has to prefill for a request.
-
     fn uncached_tokens(&self, backend: &Backend, waiting: &WaitingRequest) -> u32 {
         if self.is_plain {
             return 0;
@@ -393,8 +396,8 @@
     /// delayed; `None` for the top tier.
     fn tolerable_prefill_delay(&self, rank: u8) -> Option<f64> {
         let higher = self.rules.tiers().iter().filter(|tier| tier.rank < rank);
-        let least = higher.map(|tier| tier.first_token).reduce(f64::min)?;
-        Some(least * PREFILL_DELAY_FRACTION)
+        let shortest_target = higher.map(|tier| tier.first_token).reduce(f64::min)?;
+        Some(shortest_target * PREFILL_DELAY_FRACTION)
     }
 
     /// Returns whether a long prefill on this backend server would leave too few others on
@@ -413,10 +416,12 @@
             other.model.accepts_work(now) && other.model.prefill_backlog(now) <= tolerable_delay
         };
         let uncrowded = self.live_backends().filter(is_uncrowded).count();
-        let after = uncrowded - usize::from(is_uncrowded(&backend));
-        after < self.backends.len().div_ceil(UNCROWDED_DIVISOR)
+        let uncrowded_after = uncrowded - usize::from(is_uncrowded(&backend));
+        uncrowded_after < self.backends.len().div_ceil(UNCROWDED_DIVISOR)
     }
 
+    /// Removes a request from the queue and sends its owner a grant for the best placement.
+
     fn grant(
         &mut self,
         id: &RequestId,
@@ -449,6 +454,8 @@
         out.push((waiting.owner, Message::Grant(grant)));
     }
 
+    /// Counts a granted request on its backend server and in its account's usage.
+
     fn start(&mut self, waiting: &WaitingRequest, chosen: &BackendId, now: Instant) {
         let Some(backend) = self.backends.get(chosen) else {
             return;
@@ -457,7 +464,7 @@
         let expected = backend.model.prefill_backlog(now)
             + backend.model.estimated_prefill(tokens)
             + f64::from(waiting.answer_tokens) * backend.model.token_gaps.gap(backend.model.running + 1);
-        let run = RunningGrant {
+        let grant = RunningGrant {
             number: self.number,
             attempt: waiting.ask.attempt,
             owner: waiting.owner.clone(),
@@ -477,7 +484,7 @@
             backend.prefixes.insert(&waiting.ask.prefixes, tokens);
         }
         self.limits.record_start(&waiting.ask.account);
-        self.running.insert(waiting.ask.id.clone(), run);
+        self.running.insert(waiting.ask.id.clone(), grant);
     }
 }
 
@@ -488,11 +495,11 @@
 /// work's own target. From time to time it also gets a single request that shows whether it
 /// has recovered.
 fn target_gap(backend: &Backend, tier: &TierTargets, round: &Round) -> Option<f64> {
-    let pace = &backend.model.token_gaps;
-    if !round.has_fast_backend || !pace.single_stream_exceeds(round.strict_gap) {
+    let gaps = &backend.model.token_gaps;
+    if !round.has_fast_backend || !gaps.single_stream_exceeds(round.strict_gap) {
         return Some(round.strict_gap);
     }
-    if !pace.single_stream_exceeds(tier.gap) {
+    if !gaps.single_stream_exceeds(tier.gap) {
         return Some(tier.gap);
     }
     backend
@@ -504,9 +511,9 @@
 /// Returns whether a request has time left to wait for a backend server with its prefix
 /// cached.
 fn can_wait_for_cached_prefix(waiting: &WaitingRequest, round: &Round) -> bool {
-    let all = waiting
+    let time_to_latest_start = waiting
         .latest_start
         .saturating_duration_since(waiting.queued_at);
-    let spent = round.now.saturating_duration_since(waiting.queued_at);
-    waiting.ask.tier > 0 && spent < all.mul_f64(CACHE_WAIT_FRACTION)
+    let elapsed = round.now.saturating_duration_since(waiting.queued_at);
+    waiting.ask.tier > 0 && elapsed < time_to_latest_start.mul_f64(CACHE_WAIT_FRACTION)
 }
--- a/crates/jaypin_core/src/scheduler/limits.rs
+++ b/crates/jaypin_core/src/scheduler/limits.rs
@@ -24,13 +24,16 @@
 }
 
 /// Usage and limits of one account in this shard.
-
 #[derive(Debug)]
 struct AccountState {
     running: u32,
+    /// Token bucket; `None` for an account without limits.
     bucket: Option<Bucket>,
+    /// Allowance of this shard; `None` until the limit keeper sent one.
     allowance: Option<Allowance>,
+    /// Tokens requested since the last report.
     requested_tokens: f64,
+    /// Largest number of requests that ran or were requested at once since the last report.
     peak_at_once: u32,
 }
 
--- a/crates/jaypin_core/src/scheduler/mod.rs
+++ b/crates/jaypin_core/src/scheduler/mod.rs
@@ -35,18 +35,25 @@
 /// Its state is soft: a new leader rebuilds it from the owners' reports.
 #[derive(Debug)]
 pub struct Scheduler {
+    /// The shard that it schedules.
     shard: Shard,
+    /// Number of the last grant.
     number: GrantNumber,
+    /// End of the rebuild window; nothing is granted before.
     ready_at: Instant,
+    /// Number of waiting requests above which one is shed.
     max_waiting: usize,
     rng: ChaCha8Rng,
     rules: Arc<RuleIndex>,
+    /// Whether the service has no streams and no prefill.
     is_plain: bool,
     backends: BTreeMap<BackendId, Backend>,
     queue: WaitingQueue,
     running: RunningTable,
     demand: Demand,
     limits: AccountLimits,
+    /// Tokens that each tier, by rank, may still claim of its minimum share; negative for a
+    /// debt.
     minimum_credit: BTreeMap<u8, f64>,
 }
 
@@ -95,7 +102,7 @@
         records: impl Iterator<Item = &'a BackendRecord>,
         now: Instant,
     ) {
-        let mut next = BTreeMap::new();
+        let mut updated = BTreeMap::new();
         for record in records {
             let mut backend = self
                 .backends
@@ -103,9 +110,9 @@
                 .unwrap_or_else(|| self.new_backend(record, now));
             backend.model.presence = record.presence;
             backend.model.slots = record.slots.max(1);
-            next.insert(record.id.clone(), backend);
+            updated.insert(record.id.clone(), backend);
         }
-        self.backends = next;
+        self.backends = updated;
     }
 
     /// Creates the state of a backend server without history, counting requests that
@@ -190,7 +197,6 @@
     }
 
     /// Returns whether a slot request is not newer than the one already known.
-
     fn is_stale(&self, ask: &Ask) -> bool {
         let waiting = self.queue.get(&ask.id).map(|waiting| waiting.ask.attempt);
         let granted = self.running.attempt(&ask.id);
@@ -312,35 +318,35 @@
     }
 
     fn record_first_token(&mut self, id: &RequestId, now: Instant) {
-        let Some(run) = self.running.get_mut(id) else {
+        let Some(grant) = self.running.get_mut(id) else {
             return;
         };
-        if run.first_token_at.replace(now).is_some() {
+        if grant.first_token_at.replace(now).is_some() {
             return;
         }
-        if let Some(backend) = self.backends.get_mut(&run.backend) {
-            backend.model.record_first_token(run.number.sequence, now);
-            run.stream_seconds_at_first_token = backend.model.token_gaps.stream_seconds_at(now);
+        if let Some(backend) = self.backends.get_mut(&grant.backend) {
+            backend.model.record_first_token(grant.number.sequence, now);
+            grant.stream_seconds_at_first_token = backend.model.token_gaps.stream_seconds_at(now);
         }
     }
 
     fn record_end(&mut self, id: &RequestId, tokens: u32, after: Duration, now: Instant) {
-        let Some(run) = self.running.get(id) else {
+        let Some(grant) = self.running.get(id) else {
             return;
         };
         self.demand
-            .record_hold_time(now.saturating_duration_since(run.granted_at));
+            .record_hold_time(now.saturating_duration_since(grant.granted_at));
         let (Some(backend), Some(first)) =
-            (self.backends.get_mut(&run.backend), run.first_token_at)
+            (self.backends.get_mut(&grant.backend), grant.first_token_at)
         else {
             return;
         };
-        let since_grant = now.saturating_duration_since(run.granted_at);
+        let since_grant = now.saturating_duration_since(grant.granted_at);
         let streaming = now
             .saturating_duration_since(first)
             .saturating_sub(since_grant.saturating_sub(after));
         let streams = (backend.model.token_gaps.stream_seconds_at(now)
-            - run.stream_seconds_at_first_token)
+            - grant.stream_seconds_at_first_token)
             / now.saturating_duration_since(first).as_secs_f64().max(1e-3);
         let gaps = tokens.saturating_sub(1);
         backend
@@ -350,22 +356,24 @@
     }
 
     fn record_loss(&mut self, id: &RequestId, now: Instant) {
-        let Some(run) = self.running.get(id) else {
+        let Some(grant) = self.running.get(id) else {
             return;
         };
-        if let Some(backend) = self.backends.get_mut(&run.backend) {
+        if let Some(backend) = self.backends.get_mut(&grant.backend) {
             backend.model.record_loss(now);
             backend.prefixes.clear();
         }
     }
 
+    /// Removes a request's grant and frees its slot.
+
     fn release(&mut self, id: &RequestId, now: Instant) {
-        let Some(run) = self.running.remove(id) else {
+        let Some(grant) = self.running.remove(id) else {
             return;
         };
-        self.limits.record_end(&run.account);
-        if let Some(backend) = self.backends.get_mut(&run.backend) {
-            backend.model.record_end(run.number.sequence, now);
+        self.limits.record_end(&grant.account);
+        if let Some(backend) = self.backends.get_mut(&grant.backend) {
+            backend.model.record_end(grant.number.sequence, now);
         }
     }
 
@@ -388,6 +396,8 @@
         }
     }
 
+    /// Returns the backend servers that the host list marks as live.
+
     fn live_backends(&self) -> impl Iterator<Item = &Backend> {
         self.backends
             .values()
--- a/crates/jaypin_core/src/scheduler/queue.rs
+++ b/crates/jaypin_core/src/scheduler/queue.rs
@@ -99,8 +99,11 @@
 struct TierQueue {
     requests: BTreeMap<Tag, WaitingRequest>,
     accounts: HashMap<AccountId, AccountQueue>,
+    /// Largest start tag that was served.
     virtual_time: u64,
+    /// Total waiting work.
     work: Work,
+    /// Sum of the shares of accounts with waiting work.
     active_shares: f64,
 }
 
@@ -108,7 +111,9 @@
 #[derive(Debug)]
 struct AccountQueue {
     share: f64,
+    /// Virtual time at which the work that the account queued so far is served.
     virtual_finish: u64,
+    /// Number of waiting requests.
     waiting: u32,
     work: Work,
 }
--- a/crates/jaypin_core/src/scheduler/running.rs
+++ b/crates/jaypin_core/src/scheduler/running.rs
@@ -67,16 +67,16 @@
 
 impl RunningTable {
     /// Adds a grant and schedules its first check.
-    pub fn insert(&mut self, id: RequestId, mut run: RunningGrant) {
-        run.check_at = run.granted_at + UNUSED_GRANT_TIMEOUT;
-        self.checks.insert((run.check_at, id.clone()));
-        *self.by_tier.entry(run.tier).or_default() += 1;
-        self.by_id.insert(id, run);
+    pub fn insert(&mut self, id: RequestId, mut grant: RunningGrant) {
+        grant.check_at = grant.granted_at + UNUSED_GRANT_TIMEOUT;
+        self.checks.insert((grant.check_at, id.clone()));
+        *self.by_tier.entry(grant.tier).or_default() += 1;
+        self.by_id.insert(id, grant);
     }
 
     /// Adds a grant of an earlier scheduler that an owner reported.
     pub fn adopt(&mut self, owner: &HostId, entry: InFlight, now: Instant) {
-        let run = RunningGrant {
+        let grant = RunningGrant {
             number: entry.number,
             attempt: 0,
             owner: owner.clone(),
@@ -89,24 +89,24 @@
             stream_seconds_at_first_token: 0.0,
             check_at: now,
         };
-        self.insert(entry.id, run);
+        self.insert(entry.id, grant);
     }
 
     /// Removes a grant.
     pub fn remove(&mut self, id: &RequestId) -> Option<RunningGrant> {
-        let run = self.by_id.remove(id)?;
-        self.checks.remove(&(run.check_at, id.clone()));
-        if let Some(count) = self.by_tier.get_mut(&run.tier) {
+        let grant = self.by_id.remove(id)?;
+        self.checks.remove(&(grant.check_at, id.clone()));
+        if let Some(count) = self.by_tier.get_mut(&grant.tier) {
             *count -= 1;
         }
-        Some(run)
+        Some(grant)
     }
 
     /// Marks an owner as lost: its grants are freed once their requests must have ended.
     pub fn mark_owner_lost(&mut self, owner: &HostId, now: Instant) {
         self.lost_owners.insert(owner.clone());
         let earliest = now + LOST_OWNER_GRACE;
-        self.reschedule(owner, |run| run.expected_end.max(earliest));
+        self.reschedule(owner, |grant| grant.expected_end.max(earliest));
     }
 
     /// Marks an owner as reachable again, and schedules checks of its grants.
@@ -117,11 +117,14 @@
     }
 
     fn reschedule(&mut self, owner: &HostId, at: impl Fn(&RunningGrant) -> Instant) {
-        let of_owner = self.by_id.iter_mut().filter(|(_, run)| run.owner == *owner);
-        for (id, run) in of_owner {
-            self.checks.remove(&(run.check_at, id.clone()));
-            run.check_at = at(run);
-            self.checks.insert((run.check_at, id.clone()));
+        let of_owner = self
+            .by_id
+            .iter_mut()
+            .filter(|(_, grant)| grant.owner == *owner);
+        for (id, grant) in of_owner {
+            self.checks.remove(&(grant.check_at, id.clone()));
+            grant.check_at = at(grant);
+            self.checks.insert((grant.check_at, id.clone()));
         }
     }
 
@@ -129,21 +132,21 @@
     pub fn pop_due(&mut self, now: Instant) -> Option<DueCheck> {
         while self.checks.first()?.0 <= now {
             let (_, id) = self.checks.pop_first()?;
-            let Some(run) = self.by_id.get_mut(&id) else {
+            let Some(grant) = self.by_id.get_mut(&id) else {
                 continue;
             };
-            if self.lost_owners.contains(&run.owner) {
+            if self.lost_owners.contains(&grant.owner) {
                 return Some(DueCheck::Free(id));
             }
-            let has_first_token = run.first_token_at.is_some();
-            let overdue = !has_first_token || now >= run.expected_end;
-            run.check_at = now + CONFIRM_INTERVAL;
-            if has_first_token && !overdue {
-                run.check_at = run.expected_end + UNUSED_GRANT_TIMEOUT;
+            let has_first_token = grant.first_token_at.is_some();
+            let is_overdue = !has_first_token || now >= grant.expected_end;
+            grant.check_at = now + CONFIRM_INTERVAL;
+            if has_first_token && !is_overdue {
+                grant.check_at = grant.expected_end + UNUSED_GRANT_TIMEOUT;
             }
-            self.checks.insert((run.check_at, id.clone()));
-            if overdue {
-                let (owner, number) = (run.owner.clone(), run.number);
+            self.checks.insert((grant.check_at, id.clone()));
+            if is_overdue {
+                let (owner, number) = (grant.owner.clone(), grant.number);
                 return Some(DueCheck::Confirm { owner, id, number });
             }
         }
@@ -165,13 +168,15 @@
     /// Returns whether a request uses the grant of that number.
     #[must_use]
     pub fn has_grant(&self, id: &RequestId, number: GrantNumber) -> bool {
-        self.by_id.get(id).is_some_and(|run| run.number == number)
+        self.by_id
+            .get(id)
+            .is_some_and(|grant| grant.number == number)
     }
 
     /// Returns the number of the slot request that a request's grant answers.
     #[must_use]
     pub fn attempt(&self, id: &RequestId) -> Option<u32> {
-        self.by_id.get(id).map(|run| run.attempt)
+        self.by_id.get(id).map(|grant| grant.attempt)
     }
 
     /// Returns the grant of a request.
@@ -196,7 +201,7 @@
     pub fn on_backend(&self, backend: &BackendId) -> usize {
         self.by_id
             .values()
-            .filter(|run| run.backend == *backend)
+            .filter(|grant| grant.backend == *backend)
             .count()
     }
 }
--- a/crates/jaypin_core/src/shard.rs
+++ b/crates/jaypin_core/src/shard.rs
@@ -59,13 +59,13 @@
         let mut filled = vec![0; count];
         for id in ids {
             let ranked = rank_by_score(id, names.iter().map(String::as_str));
-            let free = ranked
+            let chosen = ranked
                 .into_iter()
                 .filter_map(|name| name.parse::<usize>().ok())
                 .find(|index| filled[*index] < capacity)
                 .unwrap_or_default();
-            filled[free] += 1;
-            let index = u16::try_from(free).unwrap_or(u16::MAX);
+            filled[chosen] += 1;
+            let index = u16::try_from(chosen).unwrap_or(u16::MAX);
             let shard = Shard {
                 service: service.clone(),
                 index,
--- a/crates/jaypin_core/src/token_gaps.rs
+++ b/crates/jaypin_core/src/token_gaps.rs
@@ -27,11 +27,15 @@
 /// Learned gap with `n` streams: `gap(n) = base * (1 + growth * (n - 1))`.
 #[derive(Debug, Clone)]
 pub struct TokenGapModel {
+    /// Gap of a single stream, in seconds.
     base: f64,
+    /// Fraction of `base` that each further stream adds.
     growth: f64,
+    /// Integral of the running streams over time, up to `changed_at`.
     stream_seconds: f64,
     changed_at: Option<Instant>,
     running: u32,
+    /// Number of finished streams.
     observed_streams: u32,
 }
 
