--- a/crates/jaypin_core/examples/capacity.rs
+++ b/crates/jaypin_core/examples/capacity.rs
@@ -40,7 +40,6 @@
 
 /// Prints the median, the minimum and the maximum of the figures as a row of a Markdown
 /// table.
-
 fn print_row(what: &str, size: &str, mut figures: Vec<f64>, unit: &str) {
     figures.sort_by(f64::total_cmp);
     let median = figures[figures.len() / 2];
@@ -68,7 +67,6 @@
 }
 
 /// Measures the time to parse a rule file and the memory of the parsed rules.
-
 fn rule_cost(accounts: usize) {
     let text = rule_text(accounts);
     let size = format!("{accounts} accounts, {} KB of text", text.len() / 1024);
@@ -87,7 +85,6 @@
 }
 
 /// Measures the time to apply a host list and the memory of the membership tables.
-
 fn membership_cost(hosts: usize, backends: usize) {
     let size = format!("{hosts} hosts, {backends} backend servers");
     let mut times = Vec::new();
@@ -116,7 +113,8 @@
         let mut reducer = Reducer::new(config(repeat));
         let start = Instant::now();
         reducer.apply(start, Event::Hosts(host_list(1, hosts, backends)));
-        let rules = Arc::new(jaypin_rules::parse(&rule_text(5)).expect("the generated rules are valid"));
+        let rules =
+            Arc::new(jaypin_rules::parse(&rule_text(5)).expect("the generated rules are valid"));
         reducer.apply(start, Event::Rules { version: 1, rules });
         let region = Region::new(ALLOCATOR);
         for index in 0..RUNNING_REQUESTS {
@@ -133,14 +131,14 @@
             }
         }
         times.push(
-            timed_from.elapsed().as_secs_f64() * 1e6 / f64::from(TIMED_REQUESTS - RUNNING_REQUESTS),);
+            timed_from.elapsed().as_secs_f64() * 1e6 / f64::from(TIMED_REQUESTS - RUNNING_REQUESTS),
+        );
     }
     print_row("one request on its owner, start to end", &size, times, "us");
     print_row("memory of a running request", &size, bytes, "KB");
 }
 
 /// Applies the arrival of a request and, if a peer leads its shard, the peer's grant.
-
 fn start_request(reducer: &mut Reducer, now: Instant, index: u32) {
     let fx = reducer.apply(now, Event::Arrived(request(index)));
     for effect in fx {
@@ -174,7 +172,6 @@
 }
 
 /// Applies the progress of a call up to its complete response.
-
 fn finish_request(reducer: &mut Reducer, now: Instant, index: u32) {
     let outcome = CallOutcome::Complete;
     for progress in [
@@ -250,7 +247,6 @@
 }
 
 /// Returns the memory in KiB that was allocated in the region and is not freed yet.
-
 #[expect(clippy::cast_precision_loss, reason = "sizes are far below 2^52")]
 fn retained_kib(region: &Region<'_, System>) -> f64 {
     let stats = region.change();
--- a/crates/jaypin_core/examples/decisions.rs
+++ b/crates/jaypin_core/examples/decisions.rs
@@ -52,7 +52,6 @@
 }
 
 /// A reducer that leads all shards of the service, and the grants that it made.
-
 struct Bench {
     reducer: Reducer,
     shards: Vec<Shard>,
@@ -90,7 +89,6 @@
     }
 
     /// Requests slots until the target number of requests waits.
-
     fn fill_queue(&mut self) {
         while self.reducer.summary().queued_here < WAITING_REQUESTS {
             self.request_slot();
@@ -99,7 +97,6 @@
     }
 
     /// Applies an event and collects the grants that it leads to.
-
     fn apply(&mut self, event: Event) {
         self.now += Duration::from_micros(10);
         for effect in self.reducer.apply(self.now, event) {
@@ -118,14 +115,12 @@
     }
 
     /// Applies a message from the peer `host-1`, which owns all requests.
-
     fn receive(&mut self, message: Message) {
         let from: HostId = "host-1".into();
         self.apply(Event::Link { from, message });
     }
 
     /// Requests a slot for a new request; tier, shard and account vary with its number.
-
     fn request_slot(&mut self) {
         self.requested += 1;
         let number = self.requested;
@@ -145,7 +140,6 @@
     }
 
     /// Reports the progress of a granted request.
-
     fn progress(&mut self, grant: &UsedGrant, progress: SlotProgress) {
         self.receive(Message::Progress {
             shard: grant.shard.clone(),
--- a/crates/jaypin_core/src/request.rs
+++ b/crates/jaypin_core/src/request.rs
@@ -151,8 +151,7 @@
         let state = Dispatched {
             slot: self.state.slot,
             attempt: self.state.attempt,
-            sent_at:
-            at,
+            sent_at: at,
             first_token_at: None,
             sent: false,
         };
--- a/crates/jaypin_core/src/scheduler/estimate.rs
+++ b/crates/jaypin_core/src/scheduler/estimate.rs
@@ -199,12 +199,14 @@
         }
         let above = self.demand.rate_above(rank, now);
         let slot_seconds = |work: Work| {
-            work.answer / capacity.answer_rate + work.prompt / capacity.fastest_prefill_rate / capacity.slots
+            work.answer / capacity.answer_rate
+                + work.prompt / capacity.fastest_prefill_rate / capacity.slots
         };
         let slots_left = (1.0 - slot_seconds(above)).max(MIN_CAPACITY_FRACTION);
         let prefill_left = (1.0 - above.prompt / capacity.prefill_rate).max(MIN_CAPACITY_FRACTION);
         let by_slots = (slot_seconds(ahead) + next_slot) / slots_left;
-        let by_prefill = ahead.prompt / capacity.prefill_rate / prefill_left + capacity.shortest_backlog;
+        let by_prefill =
+            ahead.prompt / capacity.prefill_rate / prefill_left + capacity.shortest_backlog;
         by_slots.max(by_prefill)
     }
 
--- a/crates/jaypin_core/src/scheduler/grants.rs
+++ b/crates/jaypin_core/src/scheduler/grants.rs
@@ -309,7 +309,8 @@
         let first_token = backlog + prefill;
         let max_backlog = if tier.first_token
             >= DEFERRABLE_FACTOR
-                * tolerable_delay.map_or(f64::MAX, |delay| delay / PREFILL_DELAY_FRACTION) {
+                * tolerable_delay.map_or(f64::MAX, |delay| delay / PREFILL_DELAY_FRACTION)
+        {
             MAX_DEFERRABLE_BACKLOG
         } else {
             tolerable_delay.unwrap_or(f64::MAX)
@@ -421,7 +422,6 @@
     }
 
     /// Removes a request from the queue and sends its owner a grant for the best placement.
-
     fn grant(
         &mut self,
         id: &RequestId,
@@ -455,7 +455,6 @@
     }
 
     /// Counts a granted request on its backend server and in its account's usage.
-
     fn start(&mut self, waiting: &WaitingRequest, chosen: &BackendId, now: Instant) {
         let Some(backend) = self.backends.get(chosen) else {
             return;
@@ -463,7 +462,8 @@
         let tokens = self.uncached_tokens(backend, waiting);
         let expected = backend.model.prefill_backlog(now)
             + backend.model.estimated_prefill(tokens)
-            + f64::from(waiting.answer_tokens) * backend.model.token_gaps.gap(backend.model.running + 1);
+            + f64::from(waiting.answer_tokens)
+                * backend.model.token_gaps.gap(backend.model.running + 1);
         let grant = RunningGrant {
             number: self.number,
             attempt: waiting.ask.attempt,
--- a/crates/jaypin_core/src/scheduler/limits.rs
+++ b/crates/jaypin_core/src/scheduler/limits.rs
@@ -86,14 +86,14 @@
     }
 
     /// Sets this shard's allowance out of an account's limits.
-    pub fn allow(&mut self, account: &AccountId, allowance: Allowance) {
+    pub fn set_allowance(&mut self, account: &AccountId, allowance: Allowance) {
         if let Some(usage) = self.accounts.get_mut(account) {
             usage.allowance = Some(allowance);
         }
     }
 
     /// Takes the usage of limited accounts since the last call, and removes idle accounts.
-    pub fn take_seen(&mut self, now: Instant) -> Vec<AccountUsage> {
+    pub fn take_usage(&mut self, now: Instant) -> Vec<AccountUsage> {
         let mut usages = Vec::new();
         self.accounts.retain(|account, usage| {
             let Some(bucket) = &usage.bucket else {
@@ -167,11 +167,11 @@
 
     /// Takes the usage of limited accounts in this shard since the last call.
     pub fn take_usage(&mut self, now: Instant) -> Vec<AccountUsage> {
-        self.limits.take_seen(now)
+        self.limits.take_usage(now)
     }
 
     /// Sets this shard's allowance out of an account's limits.
     pub fn set_allowance(&mut self, account: &AccountId, allowance: Allowance) {
-        self.limits.allow(account, allowance);
+        self.limits.set_allowance(account, allowance);
     }
 }
--- a/crates/jaypin_core/src/scheduler/mod.rs
+++ b/crates/jaypin_core/src/scheduler/mod.rs
@@ -174,7 +174,13 @@
     /// A repeated slot request with a greater attempt number replaces the earlier one,
     /// whose grant the owner will not use. One with the same or a smaller number was
     /// duplicated or reordered in transit and is ignored.
-    pub fn submit(&mut self, owner: &HostId, ask: Ask, now: Instant, out: &mut Vec<OutgoingMessage>,) {
+    pub fn submit(
+        &mut self,
+        owner: &HostId,
+        ask: Ask,
+        now: Instant,
+        out: &mut Vec<OutgoingMessage>,
+    ) {
         if self.is_stale(&ask) {
             return;
         }
@@ -366,7 +372,6 @@
     }
 
     /// Removes a request's grant and frees its slot.
-
     fn release(&mut self, id: &RequestId, now: Instant) {
         let Some(grant) = self.running.remove(id) else {
             return;
@@ -397,7 +402,6 @@
     }
 
     /// Returns the backend servers that the host list marks as live.
-
     fn live_backends(&self) -> impl Iterator<Item = &Backend> {
         self.backends
             .values()
--- a/crates/jaypin_core/src/shard_hints.rs
+++ b/crates/jaypin_core/src/shard_hints.rs
@@ -15,7 +15,6 @@
 }
 
 /// A reported wait and when it was received.
-
 #[derive(Debug, Clone, Copy)]
 struct Hint {
     wait: Duration,
