--- a/crates/jaypin_core/src/lib.rs
+++ b/crates/jaypin_core/src/lib.rs
@@ -43,8 +43,9 @@
 pub use host_list::{BackendRecord, HostList, HostRecord, Presence};
 pub use ids::{AccountId, BackendId, FailureDomain, HostId, Incarnation, RequestId, ServiceId};
 pub use keys::{
-    ClaimSubject, ClaimVerdict, IdempotencyKey, KEY_PERIOD, KeyOutcome, KeyTable,
-    MAX_KEYS, MAX_KEYS_PER_ACCOUNT, MAX_STORED_ANSWER_BYTES, MAX_TOTAL_STORED_BYTES, RETAINED_KEY_PERIODS, StoredAnswer,
+    ClaimSubject, ClaimVerdict, IdempotencyKey, KEY_PERIOD, KeyOutcome, KeyTable, MAX_KEYS,
+    MAX_KEYS_PER_ACCOUNT, MAX_STORED_ANSWER_BYTES, MAX_TOTAL_STORED_BYTES, RETAINED_KEY_PERIODS,
+    StoredAnswer,
 };
 pub use member::{Member, MemberStatus, MemberTable};
 pub use membership::Membership;
--- a/crates/jaypin_core/src/quarantine.rs
+++ b/crates/jaypin_core/src/quarantine.rs
@@ -136,8 +136,8 @@
     /// single fingerprint without a first token counts fully against it.
     pub fn evaluate_crashes(&mut self, now: Instant, limit: u32) -> Vec<(u64, u32)> {
         let mut updated = Vec::new();
-        let due =
-            |_: &BackendId, crash: &mut Crash| { now.duration_since(crash.first_loss_at) >= CRASH_WINDOW
+        let due = |_: &BackendId, crash: &mut Crash| {
+            now.duration_since(crash.first_loss_at) >= CRASH_WINDOW
         };
         let crashes: Vec<Crash> = self.crashes.extract_if(.., due).map(|(_, it)| it).collect();
         for crash in crashes {
