--- a/crates/jaypin_core/src/quarantine.rs
+++ b/crates/jaypin_core/src/quarantine.rs
@@ -20,8 +20,7 @@
 /// Maximum number of crashes that await evaluation.
 const MAX_PENDING_CRASHES: usize = 1_024;
 
-/// A content that was running without a first token when a backend server crashed.
-
+/// A request content that was running without a first token when a backend server crashed.
 #[derive(Debug)]
 struct Suspect {
     crash_count: u32,
@@ -29,14 +28,13 @@
 }
 
 /// The calls that one crash of a backend server ended.
-
 #[derive(Debug)]
 struct Crash {
     first_loss_at: Instant,
     lost_calls: Vec<LostCall>,
 }
 
-/// How many contents are suspected, and how many of them are refused.
+/// How many request contents are suspected, and how many of them are refused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SuspectCounts {
     /// Contents that were running on a backend server when it crashed.
@@ -55,7 +53,7 @@
 impl Quarantine {
     /// Counts the suspected and the quarantined contents, for operators.
     ///
-    /// A content is quarantined from `limit` crashes on.
+    /// A request content is quarantined from `limit` crashes on.
     #[must_use]
     pub fn counts(&self, limit: u32) -> SuspectCounts {
         let refused = self.suspects.values().filter(|it| it.crash_count >= limit);
