--- a/crates/jaypin_core/src/backend_model.rs
+++ b/crates/jaypin_core/src/backend_model.rs
@@ -1,272 +1,297 @@
-//! What a shard scheduler has learned of one backend server.
+//! What a shard scheduler has learned about one backend server.
 //!
-//! Speeds come from the timings that owners saw. Lagging load reports only correct:
-//! they can take a backend server out of service or add load that others caused.
+//! Speeds come from the timings that owners measure. Load reports lag, so they only
+//! correct: they can take a backend server out of service or add load that other clients
+//! cause.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use crate::stream_pace::StreamPace;
+use crate::token_gaps::TokenGapModel;
 use crate::{LoadReport, Presence};
 
-/// Prefill speed that is assumed before anything was seen, in tokens a second.
+/// Initial estimate of the prefill rate, in tokens per second.
 ///
-/// A high guess costs one late answer; a low one refuses work that would have fitted.
-const FIRST_GUESS_PREFILL: f64 = 10_000.0;
-/// Weight of the first guess, in tokens.
-const FIRST_GUESS_TOKENS: f64 = 200.0;
-/// Tokens after which an observation of the prefill speed has lost most of its weight.
-const PREFILL_MEMORY_TOKENS: f64 = 4_000.0;
-/// Seconds after which an observation of the prefill speed has lost most of its weight.
-const PREFILL_MEMORY_SECONDS: f64 = 1.0;
-/// Part of a first token's time that is not prefill, in seconds.
-const CALL_OVERHEAD: f64 = 0.003;
-/// A first token this many times later than expected is overdue.
+/// Too high an estimate costs one late answer; too low an estimate refuses work that would
+/// have fitted.
+const INITIAL_PREFILL_RATE: f64 = 10_000.0;
+/// Weight of the initial estimate, in tokens.
+const INITIAL_WEIGHT_TOKENS: f64 = 200.0;
+/// Prefilled tokens after which the weight of an observed prefill rate has decayed to 1/e.
+const PREFILL_DECAY_TOKENS: f64 = 4_000.0;
+/// Seconds of prefill after which the weight of an observed prefill rate has decayed to
+/// 1/e.
+const PREFILL_DECAY_SECONDS: f64 = 1.0;
+/// Part of the time to the first token that is not prefill, in seconds.
+const CALL_OVERHEAD_SECONDS: f64 = 0.003;
+/// Factor on the expected time from which a first token is overdue.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// Lateness in seconds below which no first token counts as overdue.
-const OVERDUE_SLACK: f64 = 0.25;
-/// Streams that a backend server without history may run.
-const CAREFUL_LIMIT: u32 = 4;
-/// Streams by which a careful limit grows with each first token.
-const CAREFUL_STEP: u32 = 2;
-/// Streams up to which a careful limit grows before the pace is known: first tokens come
-/// faster than streams end, and tell nothing of the gap.
-const UNPROVEN_LIMIT: u32 = 6;
-/// Rest after the first lost call; doubled with each further one.
-const FIRST_REST: Duration = Duration::from_secs(1);
-/// Doublings of the rest, at most.
-const MAX_DOUBLINGS: u32 = 5;
-/// Pause between two probes of a backend server that is too slow for its work.
-const PROBE_PAUSE: Duration = Duration::from_secs(5);
-/// Load reports whose peaks are remembered.
-const PEAKS_KEPT: usize = 64;
+/// Seconds added to the overdue threshold, so that short prefills are not overdue at once.
+const OVERDUE_MARGIN_SECONDS: f64 = 0.25;
+/// Maximum number of streams on a backend server without history.
+const SLOW_START_LIMIT: u32 = 4;
+/// Streams by which the slow-start limit rises with each first token.
+const SLOW_START_STEP: u32 = 2;
+/// Streams up to which the slow-start limit rises before the time between tokens is known.
+/// First tokens arrive faster than streams end, and they say nothing about the gap.
+const UNSAMPLED_LIMIT: u32 = 6;
+/// Cooldown after the first lost call; it doubles with each further one.
+const INITIAL_COOLDOWN: Duration = Duration::from_secs(1);
+/// Maximum number of times that the cooldown is doubled.
+const MAX_COOLDOWN_DOUBLINGS: u32 = 5;
+/// Time between two probes of a backend server that is too slow for its work.
+const PROBE_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum number of load report intervals whose peaks are kept.
+const MAX_PEAKS: usize = 64;
 
-/// Speeds, load and presence of one backend server.
+/// Learned speeds, load and presence of one backend server.
 #[derive(Debug, Clone)]
 pub struct BackendModel {
-    /// Requests it may run at once, as the host list states it.
+    /// Requests it may run at once, according to the host list.
     pub slots: u32,
     /// Requests that were granted and have not ended.
     pub running: u32,
-    /// Whether it takes work.
+    /// Whether the host list offers it for new work.
     pub presence: Presence,
     /// Learned time between tokens.
-    pub token_gaps: StreamPace,
-    careful: u32,
-    foreign: u32,
+    pub token_gaps: TokenGapModel,
+    /// Streams allowed so far; the limit starts low and rises with first tokens.
+    slow_start_limit: u32,
+    /// Reported requests that this scheduler didn't grant.
+    external_load: u32,
+    /// Decayed sum of prefilled tokens; over `prefill_seconds`, it gives the prefill rate.
     prefill_tokens: f64,
+    /// Decayed sum of prefill times, in seconds.
     prefill_seconds: f64,
-    pending: BTreeMap<u64, Pending>,
+    /// Prompts without a first token, by sequence number of the grant.
+    pending_prefills: BTreeMap<u64, PendingPrefill>,
     last_first_token: Option<Instant>,
-    rest_until: Option<Instant>,
-    losses: u32,
-    peak: u32,
+    cooldown_until: Option<Instant>,
+    consecutive_losses: u32,
+    /// Most requests running at once since the last load report.
+    current_peak: u32,
+    /// Peaks between earlier load reports, by the time of the report.
     peaks: VecDeque<(Instant, u32)>,
-    leaving_by_report: bool,
-    last_start: Option<Instant>,
+    reported_leaving: bool,
+    last_grant_at: Option<Instant>,
 }
 
-/// A prompt whose first token has not come.
+/// A granted prompt whose first token has not arrived.
 #[derive(Debug, Clone, Copy)]
-struct Pending {
+struct PendingPrefill {
     tokens: u32,
-    at: Instant,
+    granted_at: Instant,
 }
 
 impl BackendModel {
-    /// Starts with guesses and the stated number of slots.
+    /// Creates a model with initial estimates and the configured number of slots.
     #[must_use]
     pub fn new(slots: u32, presence: Presence) -> Self {
         Self {
             slots: slots.max(1),
             running: 0,
             presence,
-            token_gaps: StreamPace::default(),
-            careful: CAREFUL_LIMIT,
-            foreign: 0,
-            prefill_tokens: FIRST_GUESS_TOKENS,
-            prefill_seconds: FIRST_GUESS_TOKENS / FIRST_GUESS_PREFILL,
-            pending: BTreeMap::new(),
+            token_gaps: TokenGapModel::default(),
+            slow_start_limit: SLOW_START_LIMIT,
+            external_load: 0,
+            prefill_tokens: INITIAL_WEIGHT_TOKENS,
+            prefill_seconds: INITIAL_WEIGHT_TOKENS / INITIAL_PREFILL_RATE,
+            pending_prefills: BTreeMap::new(),
             last_first_token: None,
-            rest_until: None,
-            losses: 0,
-            peak: 0,
+            cooldown_until: None,
+            consecutive_losses: 0,
+            current_peak: 0,
             peaks: VecDeque::new(),
-            leaving_by_report: false,
-            last_start: None,
+            reported_leaving: false,
+            last_grant_at: None,
         }
     }
 
-    // ------------------------------------------------------------------ estimates
-
-    /// Requests it may run at once while every stream keeps a gap, in seconds.
+    /// Returns how many requests may run at once while every stream keeps to `gap` seconds.
     #[must_use]
     pub fn limit(&self, gap: f64) -> u32 {
-        self.slots.min(self.careful).min(self.token_gaps.knee(gap))
+        self.slots
+            .min(self.slow_start_limit)
+            .min(self.token_gaps.max_streams(gap))
     }
 
-    /// Whether it takes new work at all.
+    /// Returns whether it may be given new work: it is live, not leaving, and not in a
+    /// cooldown.
     #[must_use]
-    pub fn takes_work(&self, now: Instant) -> bool {
+    pub fn accepts_work(&self, now: Instant) -> bool {
         self.presence == Presence::Live
-            && !self.leaving_by_report
-            && self.rest_until.is_none_or(|until| now >= until)
+            && !self.reported_leaving
+            && self.cooldown_until.is_none_or(|until| now >= until)
     }
 
-    /// Whether it says of itself that it is leaving.
+    /// Returns whether its last load report said that it is leaving.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
-        self.leaving_by_report
+        self.reported_leaving
     }
 
-    /// Requests that may start now while every stream keeps a gap.
+    /// Returns how many requests may start now while every stream keeps to `gap` seconds.
     #[must_use]
-    pub fn room(&self, gap: f64, now: Instant) -> u32 {
-        if !self.takes_work(now) || self.is_overdue(now) {
+    pub fn free_slots(&self, gap: f64, now: Instant) -> u32 {
+        if !self.accepts_work(now) || self.is_overdue(now) {
             return 0;
         }
-        self.limit(gap).saturating_sub(self.running + self.foreign)
+        self.limit(gap)
+            .saturating_sub(self.running + self.external_load)
     }
 
-    /// Whether it is idle and nothing was learned of it for long, so that a request may
-    /// find out whether it still is as slow as it was.
+    /// Returns whether it is idle and had no grant for the probe interval, so that one
+    /// request may check whether it is still too slow.
     #[must_use]
-    pub fn probe_is_due(&self, now: Instant) -> bool {
+    pub fn is_probe_due(&self, now: Instant) -> bool {
         self.running == 0
-            && self.takes_work(now)
+            && self.accepts_work(now)
             && self
-                .last_start
-                .is_none_or(|at| now.saturating_duration_since(at) >= PROBE_PAUSE)
+                .last_grant_at
+                .is_none_or(|at| now.saturating_duration_since(at) >= PROBE_INTERVAL)
     }
 
-    /// Learned prefill speed in tokens a second.
+    /// Returns the learned prefill rate in tokens per second.
     #[must_use]
     pub fn prefill_rate(&self) -> f64 {
         self.prefill_tokens / self.prefill_seconds.max(1e-6)
     }
 
-    /// Seconds that a prefill takes by itself.
+    /// Returns the estimated time of a prefill without queueing, in seconds.
     #[must_use]
-    pub fn prefill(&self, tokens: u32) -> f64 {
-        CALL_OVERHEAD + f64::from(tokens) / self.prefill_rate()
+    pub fn estimated_prefill(&self, tokens: u32) -> f64 {
+        CALL_OVERHEAD_SECONDS + f64::from(tokens) / self.prefill_rate()
     }
 
-    /// Seconds until the prefills granted so far are done.
+    /// Returns the estimated time until all granted prefills are done, in seconds.
     #[must_use]
-    pub fn backlog(&self, now: Instant) -> f64 {
-        let Some((elapsed, expected)) = self.head(now) else {
+    pub fn prefill_backlog(&self, now: Instant) -> f64 {
+        let Some((elapsed, expected)) = self.oldest_prefill(now) else {
             return 0.0;
         };
         let total: f64 = self
-            .pending
+            .pending_prefills
             .values()
-            .map(|pending| self.prefill(pending.tokens))
+            .map(|pending| self.estimated_prefill(pending.tokens))
             .sum();
         if elapsed <= expected {
             return total - elapsed;
         }
-        // The first token is late: the rest is taken to be as slow.
+        // The first token is late, so the remaining prefills are assumed to be as slow.
         (total - expected) * (elapsed / expected).max(1.0)
     }
 
-    /// Whether a first token is overdue: the sign of a slow or silent backend server
-    /// that shows before any timing arrives.
+    /// Returns whether a first token is overdue. This detects a slow or unresponsive
+    /// backend server before any timing is available.
     #[must_use]
     pub fn is_overdue(&self, now: Instant) -> bool {
-        self.head(now)
-            .is_some_and(|(elapsed, expected)| elapsed > OVERDUE_FACTOR * expected + OVERDUE_SLACK)
+        self.oldest_prefill(now).is_some_and(|(elapsed, expected)| {
+            elapsed > OVERDUE_FACTOR * expected + OVERDUE_MARGIN_SECONDS
+        })
     }
 
-    /// Seconds that the oldest pending prefill has taken, and should take.
-    fn head(&self, now: Instant) -> Option<(f64, f64)> {
-        let first = self.pending.values().next()?;
-        let since = self.turn_of(first.at);
+    /// Returns the elapsed and the expected time of the oldest pending prefill, in seconds.
+    fn oldest_prefill(&self, now: Instant) -> Option<(f64, f64)> {
+        let first = self.pending_prefills.values().next()?;
+        let since = self.prefill_start(first.granted_at);
         let elapsed = now.saturating_duration_since(since).as_secs_f64();
-        Some((elapsed, self.prefill(first.tokens)))
+        Some((elapsed, self.estimated_prefill(first.tokens)))
     }
 
-    /// When the prefill of a request granted at `at` got its turn.
-    fn turn_of(&self, at: Instant) -> Instant {
+    /// Returns when the prefill of a request granted at `at` started: backend servers are
+    /// assumed to run prefills one after the other.
+    fn prefill_start(&self, at: Instant) -> Instant {
         self.last_first_token.map_or(at, |last| last.max(at))
     }
 
-    // ------------------------------------------------------------------ requests
-
-    /// Counts a granted request; `tokens` are to be prefilled.
-    pub fn start(&mut self, sequence: u64, tokens: u32, now: Instant) {
-        self.last_start = Some(now);
+    /// Records a granted request with `tokens` to prefill.
+    pub fn record_grant(&mut self, sequence: u64, tokens: u32, now: Instant) {
+        self.last_grant_at = Some(now);
         self.running += 1;
         self.token_gaps.set_running(self.running, now);
-        self.peak = self.peak.max(self.running);
+        self.current_peak = self.current_peak.max(self.running);
         if tokens > 0 {
-            self.pending.insert(sequence, Pending { tokens, at: now });
+            self.pending_prefills.insert(
+                sequence,
+                PendingPrefill {
+                    tokens,
+                    granted_at: now,
+                },
+            );
         }
     }
 
-    /// Counts a request that was running before this scheduler's time.
+    /// Records a request that was already running when this scheduler started.
     pub fn adopt(&mut self, now: Instant) {
         self.running += 1;
         self.token_gaps.set_running(self.running, now);
-        self.peak = self.peak.max(self.running);
-        self.careful = self.careful.max(self.running + CAREFUL_STEP);
+        self.current_peak = self.current_peak.max(self.running);
+        self.slow_start_limit = self.slow_start_limit.max(self.running + SLOW_START_STEP);
     }
 
-    /// Learns from a first token.
-    pub fn first_token(&mut self, sequence: u64, now: Instant) {
-        if self.careful < UNPROVEN_LIMIT || self.token_gaps.is_proven() {
-            self.careful = self.careful.saturating_add(CAREFUL_STEP).min(self.slots);
+    /// Records a first token, updates the prefill rate from it, and raises the slow-start
+    /// limit.
+    pub fn record_first_token(&mut self, sequence: u64, now: Instant) {
+        if self.slow_start_limit < UNSAMPLED_LIMIT || self.token_gaps.has_enough_samples() {
+            self.slow_start_limit = self
+                .slow_start_limit
+                .saturating_add(SLOW_START_STEP)
+                .min(self.slots);
         }
-        self.losses = 0;
-        let Some(pending) = self.pending.remove(&sequence) else {
+        self.consecutive_losses = 0;
+        let Some(pending) = self.pending_prefills.remove(&sequence) else {
             return;
         };
-        let turn = self.turn_of(pending.at);
+        let start = self.prefill_start(pending.granted_at);
         self.last_first_token = Some(now);
-        let seconds = now.saturating_duration_since(turn).as_secs_f64();
-        let seconds = (seconds - CALL_OVERHEAD).max(1e-4);
+        let seconds = now.saturating_duration_since(start).as_secs_f64();
+        let seconds = (seconds - CALL_OVERHEAD_SECONDS).max(1e-4);
         let tokens = f64::from(pending.tokens);
-        let age = tokens / PREFILL_MEMORY_TOKENS + seconds / PREFILL_MEMORY_SECONDS;
-        let keep = (-age).exp();
-        self.prefill_tokens = self.prefill_tokens * keep + tokens;
-        self.prefill_seconds = self.prefill_seconds * keep + seconds;
+        let age = tokens / PREFILL_DECAY_TOKENS + seconds / PREFILL_DECAY_SECONDS;
+        let decay = (-age).exp();
+        self.prefill_tokens = self.prefill_tokens * decay + tokens;
+        self.prefill_seconds = self.prefill_seconds * decay + seconds;
     }
 
-    /// Counts the end of a request.
-    pub fn end(&mut self, sequence: u64, now: Instant) {
+    /// Records the end of a request.
+    pub fn record_end(&mut self, sequence: u64, now: Instant) {
         self.running = self.running.saturating_sub(1);
         self.token_gaps.set_running(self.running, now);
-        self.pending.remove(&sequence);
+        self.pending_prefills.remove(&sequence);
     }
 
-    /// Backs off after a call that was lost or could not be opened.
+    /// Starts a cooldown after a call that was lost or whose connection was refused.
     ///
-    /// A backend server that dies again and again would otherwise draw work by being
-    /// empty. It is tried again with one request after a rest that doubles.
-    pub fn lost(&mut self, now: Instant) {
-        if self.rest_until.is_some_and(|until| now < until) {
+    /// A backend server that crashes repeatedly would otherwise attract work because it is
+    /// empty. After the cooldown, which doubles each time, it starts again with a single
+    /// request.
+    pub fn record_loss(&mut self, now: Instant) {
+        if self.cooldown_until.is_some_and(|until| now < until) {
             return;
         }
-        let rest = FIRST_REST * 2_u32.pow(self.losses.min(MAX_DOUBLINGS));
-        self.losses += 1;
-        self.careful = 1;
-        self.rest_until = Some(now + rest);
+        let cooldown =
+            INITIAL_COOLDOWN * 2_u32.pow(self.consecutive_losses.min(MAX_COOLDOWN_DOUBLINGS));
+        self.consecutive_losses += 1;
+        self.slow_start_limit = 1;
+        self.cooldown_until = Some(now + cooldown);
     }
 
-    /// Takes a lagging report: load that this scheduler did not cause is counted, and
-    /// nothing else of the figures is believed.
-    pub fn report(&mut self, report: &LoadReport, now: Instant) {
-        self.leaving_by_report = report.leaving;
-        self.peaks.push_back((now, self.peak));
-        self.peak = self.running;
+    /// Applies a lagging load report: load beyond this scheduler's own grants is counted as
+    /// external, and a backend server that reports to be leaving gets no more work. All
+    /// other figures are ignored.
+    pub fn apply_load_report(&mut self, report: &LoadReport, now: Instant) {
+        self.reported_leaving = report.leaving;
+        self.peaks.push_back((now, self.current_peak));
+        self.current_peak = self.running;
         let oldest = now.checked_sub(report.age + Duration::from_secs(2));
-        while self.peaks.len() > PEAKS_KEPT
+        while self.peaks.len() > MAX_PEAKS
             || (self.peaks.len() > 1
                 && oldest.is_some_and(|oldest| self.peaks.front().is_some_and(|p| p.0 < oldest)))
         {
             self.peaks.pop_front();
         }
         let granted = self.peaks.iter().map(|(_, peak)| *peak).max();
-        let seen = report.running.saturating_add(report.waiting);
-        self.foreign = seen.saturating_sub(granted.unwrap_or_default());
+        let reported = report.running.saturating_add(report.waiting);
+        self.external_load = reported.saturating_sub(granted.unwrap_or_default());
     }
 }
--- a/crates/jaypin_core/src/lib.rs
+++ b/crates/jaypin_core/src/lib.rs
@@ -1,9 +1,8 @@
-//! The decisions of jaypin: one reducer from events to effects, free of I/O.
+//! Request scheduling of jaypin: one reducer that turns events into effects, without I/O.
 //!
-//! [`Reducer::apply`] is the only owner of decision state. It does no I/O, reads no
-//! clock and draws random numbers from a seed in its state, so the same events give
-//! the same effects: that is what makes each routing decision explainable, replayable
-//! and testable.
+//! [`Reducer::apply`] is the only owner of decision state. It does no I/O, reads no clock,
+//! and draws random numbers from a seed in its state, so the same events always give the
+//! same effects. This makes every routing decision explainable, replayable and testable.
 
 mod allowance;
 mod backend_model;
@@ -34,7 +33,7 @@
 mod scheduler;
 mod shard;
 mod shard_hints;
-mod stream_pace;
+mod token_gaps;
 
 pub use allowance::Allowance;
 pub use backend_model::BackendModel;
@@ -65,4 +64,4 @@
 pub use scheduler::{BackendReport, BackendState, ShardReport};
 pub use scheduler::{OutgoingMessage, Scheduler};
 pub use shard::{Shard, ShardMap};
-pub use stream_pace::StreamPace;
+pub use token_gaps::TokenGapModel;
--- a/crates/jaypin_core/src/scheduler/mod.rs
+++ b/crates/jaypin_core/src/scheduler/mod.rs
@@ -1,4 +1,4 @@
-//! The single counter and single queue of one shard.
+//! The scheduler of one shard: a single queue of requests and a single count of used slots.
 
 mod estimate;
 mod grants;
@@ -21,34 +21,43 @@
     Message, Presence, Reason, RequestId, Shard, SlotProgress, score,
 };
 use estimate::Demand;
-use limits::Limits;
-use queue::{WaitingAsk, WaitingQueue};
+use limits::AccountLimits;
+use queue::{WaitingQueue, WaitingRequest};
 use running::RunningTable;
 
 pub use report::{BackendReport, BackendState, ShardReport};
 
-/// A message to a host, as schedulers produce them.
+/// A message with the host that it is to be sent to.
 pub type OutgoingMessage = (HostId, Message);
 
-/// The scheduler of one shard; soft state on the host that leads it.
+/// The scheduler of one shard, on the host that leads the shard.
+///
+/// Its state is soft: a new leader rebuilds it from the owners' reports.
 #[derive(Debug)]
 pub struct Scheduler {
+    /// The shard that it schedules.
     shard: Shard,
+    /// Number of the last grant.
     number: GrantNumber,
+    /// End of the rebuild window; nothing is granted before.
     ready_at: Instant,
+    /// Number of waiting requests above which one is shed.
     max_waiting: usize,
     rng: ChaCha8Rng,
     rules: Arc<RuleIndex>,
-    plain: bool,
+    /// Whether the service has no streams and no prefill.
+    is_plain: bool,
     backends: BTreeMap<BackendId, Backend>,
     queue: WaitingQueue,
     running: RunningTable,
     demand: Demand,
-    limits: Limits,
-    credit: BTreeMap<u8, f64>,
+    limits: AccountLimits,
+    /// Tokens that each tier, by rank, may still claim of its minimum share; negative for a
+    /// debt.
+    minimum_credit: BTreeMap<u8, f64>,
 }
 
-/// A backend server of the shard.
+/// What the scheduler keeps about one backend server of the shard.
 #[derive(Debug)]
 struct Backend {
     model: BackendModel,
@@ -56,12 +65,13 @@
 }
 
 impl Scheduler {
-    /// Starts a scheduler that grants nothing until owners had time to report.
+    /// Creates a scheduler that grants nothing until the rebuild window has passed, so that
+    /// owners can report the requests that they have in flight.
     #[must_use]
     pub fn new(shard: Shard, cfg: &Config, rules: Arc<RuleIndex>, now: Instant) -> Self {
         let seed = cfg.seed ^ score(&cfg.host, &shard.to_string());
         Self {
-            plain: rules.is_plain(&shard.service),
+            is_plain: rules.is_plain(&shard.service),
             shard,
             number: GrantNumber {
                 incarnation: cfg.incarnation,
@@ -75,26 +85,24 @@
             queue: WaitingQueue::default(),
             running: RunningTable::default(),
             demand: Demand::default(),
-            limits: Limits::default(),
-            credit: BTreeMap::new(),
+            limits: AccountLimits::default(),
+            minimum_credit: BTreeMap::new(),
         }
     }
 
-    // ------------------------------------------------------------------ knowledge
-
-    /// Takes a newer version of the rules.
+    /// Applies a newer version of the rules.
     pub fn set_rules(&mut self, rules: Arc<RuleIndex>) {
-        self.plain = rules.is_plain(&self.shard.service);
+        self.is_plain = rules.is_plain(&self.shard.service);
         self.rules = rules;
     }
 
-    /// Takes the shard's backend servers from a newer host list.
+    /// Applies the shard's backend servers from a newer host list; learned models are kept.
     pub fn set_backends<'a>(
         &mut self,
         records: impl Iterator<Item = &'a BackendRecord>,
         now: Instant,
     ) {
-        let mut next = BTreeMap::new();
+        let mut updated = BTreeMap::new();
         for record in records {
             let mut backend = self
                 .backends
@@ -102,12 +110,13 @@
                 .unwrap_or_else(|| self.new_backend(record, now));
             backend.model.presence = record.presence;
             backend.model.slots = record.slots.max(1);
-            next.insert(record.id.clone(), backend);
+            updated.insert(record.id.clone(), backend);
         }
-        self.backends = next;
+        self.backends = updated;
     }
 
-    /// A backend server without history; what runs there by earlier grants counts.
+    /// Creates the state of a backend server without history, counting requests that
+    /// already run there on earlier grants.
     fn new_backend(&self, record: &BackendRecord, now: Instant) -> Backend {
         let mut model = BackendModel::new(record.slots, record.presence);
         for _ in 0..self.running.on_backend(&record.id) {
@@ -119,14 +128,14 @@
         }
     }
 
-    /// Takes a lagging load report.
+    /// Applies a load report, which lags behind the actual load.
     pub fn apply_load_report(&mut self, report: &LoadReport, now: Instant) {
         if let Some(backend) = self.backends.get_mut(&report.backend) {
-            backend.model.report(report, now);
+            backend.model.apply_load_report(report, now);
         }
     }
 
-    /// Takes what an owner has running from before this scheduler's time.
+    /// Adopts the requests that an owner has running on grants of an earlier scheduler.
     pub fn adopt_in_flight(&mut self, owner: &HostId, entries: Vec<InFlight>, now: Instant) {
         for entry in entries {
             if self.running.contains(&entry.id) {
@@ -135,38 +144,36 @@
             if let Some(backend) = self.backends.get_mut(&entry.backend) {
                 backend.model.adopt(now);
             }
-            self.limits.started(&entry.account);
+            self.limits.record_start(&entry.account);
             self.running.adopt(owner, entry, now);
         }
     }
 
-    /// Ends the time for owners' reports early, since all have reported.
+    /// Ends the rebuild window early because all owners have reported.
     pub fn end_rebuild(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         self.ready_at = self.ready_at.min(now);
-        self.pump(now, out);
+        self.grant_waiting(now, out);
     }
 
-    /// Drops what a lost owner waited for. What it has running stays counted until
-    /// its backend servers had time to end it.
+    /// Removes the waiting requests of a lost owner. Its running requests stay counted
+    /// until its backend servers had time to end them.
     pub fn mark_owner_lost(&mut self, owner: &HostId, now: Instant) {
         for id in self.queue.of_owner(owner) {
             self.queue.remove(&id);
         }
-        self.running.owner_lost(owner, now);
+        self.running.mark_owner_lost(owner, now);
     }
 
-    /// Counts on an owner again that was only unreachable.
+    /// Accepts an owner again that was only unreachable, and has its grants confirmed.
     pub fn mark_owner_recovered(&mut self, owner: &HostId, now: Instant) {
-        self.running.owner_back(owner, now);
+        self.running.mark_owner_recovered(owner, now);
     }
 
-    // ------------------------------------------------------------------ requests
-
     /// Queues, grants or refuses a request.
     ///
-    /// A repeated ask with a greater number replaces the earlier one, whose grant the
-    /// owner will not use; one with the same number or a smaller one was duplicated or
-    /// overtaken on its way and changes nothing.
+    /// A repeated slot request with a greater attempt number replaces the earlier one,
+    /// whose grant the owner will not use. One with the same or a smaller number was
+    /// duplicated or reordered in transit and is ignored.
     pub fn submit(
         &mut self,
         owner: &HostId,
@@ -180,21 +187,22 @@
         let id = ask.id.clone();
         self.queue.remove(&id);
         self.release(&id, now);
-        let waiting = self.waiting_ask(owner, ask, now);
-        if let Some(wait) = self.over_limit(&waiting.ask, now) {
+        let waiting = self.new_waiting(owner, ask, now);
+        if let Some(wait) = self.charge_limits(&waiting.ask, now) {
             let line = self.rules.limit(&waiting.ask.account);
             let line = line.map(|limit| limit.origin.line);
             return self.refuse_after(&waiting, Reason::OverLimit, wait, line, out);
         }
-        self.note_demand(&waiting, now);
+        self.record_arrival(&waiting, now);
         let share = self.rules.share(&waiting.ask.account);
         self.queue.push(waiting, share);
-        self.pump(now, out);
+        self.grant_waiting(now, out);
         if self.queue.get(&id).is_some() {
-            self.keep_or_refuse(&id, now, out);
+            self.queue_or_refuse(&id, now, out);
         }
     }
 
+    /// Returns whether a slot request is not newer than the one already known.
     fn is_stale(&self, ask: &Ask) -> bool {
         let waiting = self.queue.get(&ask.id).map(|waiting| waiting.ask.attempt);
         let granted = self.running.attempt(&ask.id);
@@ -203,20 +211,20 @@
             .is_some_and(|attempt| ask.attempt <= attempt)
     }
 
-    /// A request that can't start now waits, unless it could only miss its deadline or
-    /// the queue is full.
-    fn keep_or_refuse(&mut self, id: &RequestId, now: Instant, out: &mut Vec<OutgoingMessage>) {
+    /// Keeps a request that can't start now in the queue, unless it would miss its
+    /// deadline. If the queue is full, the request with the lowest priority is refused.
+    fn queue_or_refuse(&mut self, id: &RequestId, now: Instant, out: &mut Vec<OutgoingMessage>) {
         let Some(waiting) = self.queue.get(id) else {
             return;
         };
-        if now >= self.ready_at && self.comes_too_late(waiting, now) {
+        if now >= self.ready_at && self.would_miss_deadline(waiting, now) {
             if let Some(waiting) = self.queue.remove(id) {
                 self.refuse(&waiting, Reason::TooLate, now, out);
             }
             return;
         }
         if self.queue.len() > self.max_waiting
-            && let Some(shed) = self.queue.shed()
+            && let Some(shed) = self.queue.pop_lowest_priority()
         {
             self.refuse(&shed, Reason::Shed, now, out);
         }
@@ -231,12 +239,13 @@
         }
     }
 
-    /// Drops a request that waits.
+    /// Removes a waiting request.
     pub fn withdraw(&mut self, id: &RequestId) {
         self.queue.remove(id);
     }
 
-    /// Learns what became of a slot, and grants it anew once it is free.
+    /// Records the progress of a granted request, and grants its slot again once it is
+    /// free.
     pub fn apply_progress(
         &mut self,
         id: &RequestId,
@@ -245,14 +254,14 @@
         now: Instant,
         out: &mut Vec<OutgoingMessage>,
     ) {
-        if !self.running.holds(id, number) {
+        if !self.running.has_grant(id, number) {
             return;
         }
         match progress {
-            SlotProgress::FirstToken { .. } => self.saw_first_token(id, now),
+            SlotProgress::FirstToken { .. } => self.record_first_token(id, now),
             SlotProgress::Returned => self.release(id, now),
             SlotProgress::NotReached => {
-                self.saw_loss(id, now);
+                self.record_loss(id, now);
                 self.release(id, now);
             }
             SlotProgress::Finished {
@@ -261,17 +270,18 @@
                 lost,
             } => {
                 if lost {
-                    self.saw_loss(id, now);
+                    self.record_loss(id, now);
                 } else {
-                    self.saw_end(id, tokens, after, now);
+                    self.record_end(id, tokens, after, now);
                 }
                 self.release(id, now);
             }
         }
-        self.pump(now, out);
+        self.grant_waiting(now, out);
     }
 
-    /// Takes unused grants back, gives up on what is too late, and grants what is free.
+    /// Has overdue grants confirmed, refuses waiting requests that can't meet their
+    /// deadlines any more, and grants free slots.
     pub fn tick(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         self.check_running(now, out);
         if now >= self.ready_at {
@@ -279,110 +289,110 @@
                 self.refuse(&late, Reason::TooLate, now, out);
             }
         }
-        self.pump(now, out);
+        self.grant_waiting(now, out);
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
         self.queue.len()
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// What was learned of a backend server.
+    /// Returns the learned model of a backend server.
     #[must_use]
     pub fn model(&self, backend: &str) -> Option<&BackendModel> {
         self.backends.get(backend).map(|backend| &backend.model)
     }
 
-    // ------------------------------------------------------------------ inside
-
-    fn waiting_ask(&self, owner: &HostId, ask: Ask, now: Instant) -> WaitingAsk {
-        let answer_tokens = if self.plain { 0 } else { ask.max_tokens };
-        let mut waiting = WaitingAsk {
+    fn new_waiting(&self, owner: &HostId, ask: Ask, now: Instant) -> WaitingRequest {
+        let answer_tokens = if self.is_plain { 0 } else { ask.max_tokens };
+        let mut waiting = WaitingRequest {
             owner: owner.clone(),
             ask,
-            since: now,
+            queued_at: now,
             answer_tokens,
             latest_start: now,
         };
-        waiting.latest_start = now + self.slack(&waiting);
+        waiting.latest_start = now + self.time_to_latest_start(&waiting);
         waiting
     }
 
-    fn saw_first_token(&mut self, id: &RequestId, now: Instant) {
-        let Some(run) = self.running.get_mut(id) else {
+    fn record_first_token(&mut self, id: &RequestId, now: Instant) {
+        let Some(grant) = self.running.get_mut(id) else {
             return;
         };
-        if run.first_token_at.replace(now).is_some() {
+        if grant.first_token_at.replace(now).is_some() {
             return;
         }
-        if let Some(backend) = self.backends.get_mut(&run.backend) {
-            backend.model.first_token(run.number.sequence, now);
-            run.area_at_first_token = backend.model.token_gaps.area_at(now);
+        if let Some(backend) = self.backends.get_mut(&grant.backend) {
+            backend.model.record_first_token(grant.number.sequence, now);
+            grant.stream_seconds_at_first_token = backend.model.token_gaps.stream_seconds_at(now);
         }
     }
 
-    fn saw_end(&mut self, id: &RequestId, tokens: u32, after: Duration, now: Instant) {
-        let Some(run) = self.running.get(id) else {
+    fn record_end(&mut self, id: &RequestId, tokens: u32, after: Duration, now: Instant) {
+        let Some(grant) = self.running.get(id) else {
             return;
         };
         self.demand
-            .served(now.saturating_duration_since(run.granted_at));
+            .record_hold_time(now.saturating_duration_since(grant.granted_at));
         let (Some(backend), Some(first)) =
-            (self.backends.get_mut(&run.backend), run.first_token_at)
+            (self.backends.get_mut(&grant.backend), grant.first_token_at)
         else {
             return;
         };
-        let since_grant = now.saturating_duration_since(run.granted_at);
+        let since_grant = now.saturating_duration_since(grant.granted_at);
         let streaming = now
             .saturating_duration_since(first)
             .saturating_sub(since_grant.saturating_sub(after));
-        let streams = (backend.model.token_gaps.area_at(now) - run.area_at_first_token)
+        let streams = (backend.model.token_gaps.stream_seconds_at(now)
+            - grant.stream_seconds_at_first_token)
             / now.saturating_duration_since(first).as_secs_f64().max(1e-3);
         let gaps = tokens.saturating_sub(1);
         backend
             .model
             .token_gaps
-            .saw(gaps, streaming.as_secs_f64(), streams);
+            .record_stream(gaps, streaming.as_secs_f64(), streams);
     }
 
-    fn saw_loss(&mut self, id: &RequestId, now: Instant) {
-        let Some(run) = self.running.get(id) else {
+    fn record_loss(&mut self, id: &RequestId, now: Instant) {
+        let Some(grant) = self.running.get(id) else {
             return;
         };
-        if let Some(backend) = self.backends.get_mut(&run.backend) {
-            backend.model.lost(now);
+        if let Some(backend) = self.backends.get_mut(&grant.backend) {
+            backend.model.record_loss(now);
             backend.prefixes.clear();
         }
     }
 
+    /// Removes a request's grant and frees its slot.
     fn release(&mut self, id: &RequestId, now: Instant) {
-        let Some(run) = self.running.remove(id) else {
+        let Some(grant) = self.running.remove(id) else {
             return;
         };
-        self.limits.ended(&run.account);
-        if let Some(backend) = self.backends.get_mut(&run.backend) {
-            backend.model.end(run.number.sequence, now);
+        self.limits.record_end(&grant.account);
+        if let Some(backend) = self.backends.get_mut(&grant.backend) {
+            backend.model.record_end(grant.number.sequence, now);
         }
     }
 
-    /// Asks owners of grants that are overdue whether they still hold them, and frees
-    /// what lost owners had running.
+    /// Asks the owners of overdue grants whether they still use them, and frees the grants
+    /// of lost owners.
     ///
-    /// Guards against slots that stay counted for ever: a grant or a last word can be
-    /// lost with a link, and an owner can die. The owner answers from its own table, so
-    /// no running request loses its slot.
+    /// Slots would otherwise stay counted forever when a grant or a final report is lost
+    /// with a link, or when an owner crashes. Owners reply from their own tables, so no
+    /// running request loses its slot.
     fn check_running(&mut self, now: Instant, out: &mut Vec<OutgoingMessage>) {
         while let Some(due) = self.running.pop_due(now) {
             match due {
-                running::Due::Free(id) => self.release(&id, now),
-                running::Due::Confirm { owner, id, number } => {
+                running::DueCheck::Free(id) => self.release(&id, now),
+                running::DueCheck::Confirm { owner, id, number } => {
                     let shard = self.shard.clone();
                     let confirm = Message::Confirm { shard, id, number };
                     out.push((owner, confirm));
@@ -391,6 +401,7 @@
         }
     }
 
+    /// Returns the backend servers that the host list marks as live.
     fn live_backends(&self) -> impl Iterator<Item = &Backend> {
         self.backends
             .values()
--- a/crates/jaypin_core/src/scheduler/running.rs
+++ b/crates/jaypin_core/src/scheduler/running.rs
@@ -1,83 +1,82 @@
-//! The grants that are in use, and when to look after each.
+//! The grants in use, and when each of them is checked.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
 use crate::{AccountId, BackendId, GrantNumber, HostId, InFlight, RequestId};
 
-/// Time after a grant without a first token until its owner is asked for it.
-const UNUSED_BOUND: Duration = Duration::from_secs(5);
-/// Pause between two such questions.
-const CONFIRM_PAUSE: Duration = Duration::from_secs(15);
-/// Time that backend servers get, at least, to end what a lost owner had running.
-const LOST_OWNER_HOLD: Duration = Duration::from_secs(2);
+/// Time after a grant without a first token until its owner is asked to confirm it.
+const UNUSED_GRANT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time between two confirmation requests for the same grant.
+const CONFIRM_INTERVAL: Duration = Duration::from_secs(15);
+/// Minimum time that backend servers have to end the requests of a lost owner.
+const LOST_OWNER_GRACE: Duration = Duration::from_secs(2);
 
 /// A grant in use.
 #[derive(Debug)]
-pub struct Running {
-    /// Its number.
+pub struct RunningGrant {
+    /// Number of the grant.
     pub number: GrantNumber,
-    /// The ask it answered.
+    /// Number of the slot request that it answers; 0 for an adopted grant.
     pub attempt: u32,
-    /// Who uses it.
+    /// The host that uses it.
     pub owner: HostId,
-    /// Where it runs.
+    /// The backend server.
     pub backend: BackendId,
-    /// Whose it is.
+    /// Client account of the request.
     pub account: AccountId,
-    /// Rank of its tier.
+    /// Rank of the request's tier.
     pub tier: u8,
-    /// When it was granted, or adopted.
+    /// When it was granted or adopted.
     pub granted_at: Instant,
-    /// When it is expected to have ended.
+    /// When the request is expected to have ended.
     pub expected_end: Instant,
-    /// When its first token came.
+    /// When the first token arrived; `None` before.
     pub first_token_at: Option<Instant>,
-    /// Streams times seconds of its backend server at its first token.
-    pub area_at_first_token: f64,
-    /// When to look after it.
+    /// Stream-seconds of its backend server at the first token.
+    pub stream_seconds_at_first_token: f64,
+    /// When the grant is checked next.
     pub check_at: Instant,
 }
 
-/// What is to be done about a grant that nothing was heard of for long.
+/// The action that is due for a grant without recent progress.
 #[derive(Debug)]
-pub enum Due {
-    /// Its owner is lost and the backend server had time to end it.
+pub enum DueCheck {
+    /// The owner is lost and the backend server had time to end the request: free the
+    /// grant.
     Free(RequestId),
-    /// Its owner is to be asked.
+    /// Ask the owner whether it still uses the grant.
     Confirm {
         /// The owner.
         owner: HostId,
         /// The request.
         id: RequestId,
-        /// The grant.
+        /// Number of the grant.
         number: GrantNumber,
     },
 }
 
-/// All grants in use.
+/// All grants in use, with the times at which they are checked.
 #[derive(Debug, Default)]
 pub struct RunningTable {
-    by_id: HashMap<RequestId, Running>,
+    by_id: HashMap<RequestId, RunningGrant>,
     checks: BTreeSet<(Instant, RequestId)>,
     by_tier: BTreeMap<u8, u32>,
     lost_owners: BTreeSet<HostId>,
 }
 
 impl RunningTable {
-    // ------------------------------------------------------------------ changes
-
-    /// Adds a grant.
-    pub fn insert(&mut self, id: RequestId, mut run: Running) {
-        run.check_at = run.granted_at + UNUSED_BOUND;
-        self.checks.insert((run.check_at, id.clone()));
-        *self.by_tier.entry(run.tier).or_default() += 1;
-        self.by_id.insert(id, run);
+    /// Adds a grant and schedules its first check.
+    pub fn insert(&mut self, id: RequestId, mut grant: RunningGrant) {
+        grant.check_at = grant.granted_at + UNUSED_GRANT_TIMEOUT;
+        self.checks.insert((grant.check_at, id.clone()));
+        *self.by_tier.entry(grant.tier).or_default() += 1;
+        self.by_id.insert(id, grant);
     }
 
-    /// Adds what an owner has running from before this scheduler's time.
+    /// Adds a grant of an earlier scheduler that an owner reported.
     pub fn adopt(&mut self, owner: &HostId, entry: InFlight, now: Instant) {
-        let run = Running {
+        let grant = RunningGrant {
             number: entry.number,
             attempt: 0,
             owner: owner.clone(),
@@ -87,119 +86,122 @@
             granted_at: now,
             expected_end: now,
             first_token_at: None,
-            area_at_first_token: 0.0,
+            stream_seconds_at_first_token: 0.0,
             check_at: now,
         };
-        self.insert(entry.id, run);
+        self.insert(entry.id, grant);
     }
 
-    /// Takes a grant out.
-    pub fn remove(&mut self, id: &RequestId) -> Option<Running> {
-        let run = self.by_id.remove(id)?;
-        self.checks.remove(&(run.check_at, id.clone()));
-        if let Some(count) = self.by_tier.get_mut(&run.tier) {
+    /// Removes a grant.
+    pub fn remove(&mut self, id: &RequestId) -> Option<RunningGrant> {
+        let grant = self.by_id.remove(id)?;
+        self.checks.remove(&(grant.check_at, id.clone()));
+        if let Some(count) = self.by_tier.get_mut(&grant.tier) {
             *count -= 1;
         }
-        Some(run)
+        Some(grant)
     }
 
-    /// Marks an owner as lost: its grants are freed once they must have ended.
-    pub fn owner_lost(&mut self, owner: &HostId, now: Instant) {
+    /// Marks an owner as lost: its grants are freed once their requests must have ended.
+    pub fn mark_owner_lost(&mut self, owner: &HostId, now: Instant) {
         self.lost_owners.insert(owner.clone());
-        let hold = now + LOST_OWNER_HOLD;
-        self.reschedule(owner, |run| run.expected_end.max(hold));
+        let earliest = now + LOST_OWNER_GRACE;
+        self.reschedule(owner, |grant| grant.expected_end.max(earliest));
     }
 
-    /// Marks an owner as reachable again: its grants are confirmed.
-    pub fn owner_back(&mut self, owner: &HostId, now: Instant) {
+    /// Marks an owner as reachable again, and schedules checks of its grants.
+    pub fn mark_owner_recovered(&mut self, owner: &HostId, now: Instant) {
         if self.lost_owners.remove(owner) {
             self.reschedule(owner, |_| now);
         }
     }
 
-    fn reschedule(&mut self, owner: &HostId, at: impl Fn(&Running) -> Instant) {
-        let of_owner = self.by_id.iter_mut().filter(|(_, run)| run.owner == *owner);
-        for (id, run) in of_owner {
-            self.checks.remove(&(run.check_at, id.clone()));
-            run.check_at = at(run);
-            self.checks.insert((run.check_at, id.clone()));
+    fn reschedule(&mut self, owner: &HostId, at: impl Fn(&RunningGrant) -> Instant) {
+        let of_owner = self
+            .by_id
+            .iter_mut()
+            .filter(|(_, grant)| grant.owner == *owner);
+        for (id, grant) in of_owner {
+            self.checks.remove(&(grant.check_at, id.clone()));
+            grant.check_at = at(grant);
+            self.checks.insert((grant.check_at, id.clone()));
         }
     }
 
-    /// Takes the next grant that is to be looked after.
-    pub fn pop_due(&mut self, now: Instant) -> Option<Due> {
+    /// Returns the next action that is due, and reschedules the check of its grant.
+    pub fn pop_due(&mut self, now: Instant) -> Option<DueCheck> {
         while self.checks.first()?.0 <= now {
             let (_, id) = self.checks.pop_first()?;
-            let Some(run) = self.by_id.get_mut(&id) else {
+            let Some(grant) = self.by_id.get_mut(&id) else {
                 continue;
             };
-            if self.lost_owners.contains(&run.owner) {
-                return Some(Due::Free(id));
+            if self.lost_owners.contains(&grant.owner) {
+                return Some(DueCheck::Free(id));
             }
-            let streams = run.first_token_at.is_some();
-            let overdue = !streams || now >= run.expected_end;
-            run.check_at = now + CONFIRM_PAUSE;
-            if streams && !overdue {
-                run.check_at = run.expected_end + UNUSED_BOUND;
+            let has_first_token = grant.first_token_at.is_some();
+            let is_overdue = !has_first_token || now >= grant.expected_end;
+            grant.check_at = now + CONFIRM_INTERVAL;
+            if has_first_token && !is_overdue {
+                grant.check_at = grant.expected_end + UNUSED_GRANT_TIMEOUT;
             }
-            self.checks.insert((run.check_at, id.clone()));
-            if overdue {
-                let (owner, number) = (run.owner.clone(), run.number);
-                return Some(Due::Confirm { owner, id, number });
+            self.checks.insert((grant.check_at, id.clone()));
+            if is_overdue {
+                let (owner, number) = (grant.owner.clone(), grant.number);
+                return Some(DueCheck::Confirm { owner, id, number });
             }
         }
         None
     }
 
-    // ------------------------------------------------------------------ views
-
-    /// Grants in use.
+    /// Returns the number of grants in use.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether a request runs.
+    /// Returns whether a request has a grant.
     #[must_use]
     pub fn contains(&self, id: &RequestId) -> bool {
         self.by_id.contains_key(id)
     }
 
-    /// Whether a request runs on the grant of that number.
+    /// Returns whether a request uses the grant of that number.
     #[must_use]
-    pub fn holds(&self, id: &RequestId, number: GrantNumber) -> bool {
-        self.by_id.get(id).is_some_and(|run| run.number == number)
+    pub fn has_grant(&self, id: &RequestId, number: GrantNumber) -> bool {
+        self.by_id
+            .get(id)
+            .is_some_and(|grant| grant.number == number)
     }
 
-    /// The ask that a request's grant answered.
+    /// Returns the number of the slot request that a request's grant answers.
     #[must_use]
     pub fn attempt(&self, id: &RequestId) -> Option<u32> {
-        self.by_id.get(id).map(|run| run.attempt)
+        self.by_id.get(id).map(|grant| grant.attempt)
     }
 
-    /// Finds a grant.
+    /// Returns the grant of a request.
     #[must_use]
-    pub fn get(&self, id: &RequestId) -> Option<&Running> {
+    pub fn get(&self, id: &RequestId) -> Option<&RunningGrant> {
         self.by_id.get(id)
     }
 
-    /// Finds a grant to change it; its tier and check time stay.
-    pub fn get_mut(&mut self, id: &RequestId) -> Option<&mut Running> {
+    /// Returns the grant of a request for changes; its tier and check time must stay.
+    pub fn get_mut(&mut self, id: &RequestId) -> Option<&mut RunningGrant> {
         self.by_id.get_mut(id)
     }
 
-    /// Grants in use by a tier.
+    /// Returns the number of grants in use by a tier.
     #[must_use]
     pub fn of_tier(&self, rank: u8) -> u32 {
         self.by_tier.get(&rank).copied().unwrap_or_default()
     }
 
-    /// Grants in use on a backend server.
+    /// Returns the number of grants in use on a backend server.
     #[must_use]
     pub fn on_backend(&self, backend: &BackendId) -> usize {
         self.by_id
             .values()
-            .filter(|run| run.backend == *backend)
+            .filter(|grant| grant.backend == *backend)
             .count()
     }
 }
