--- a/crates/jaypin_wire/src/api.rs
+++ b/crates/jaypin_wire/src/api.rs
@@ -1,51 +1,52 @@
-//! JSON bodies towards callers and operators.
+//! JSON bodies of responses to callers and operators.
 
 use jaypin_core::{HostId, HostList, HostRecord, Member, MemberStatus, Presence, Refusal, Summary};
 use serde::{Deserialize, Serialize};
 
 use crate::ShardState;
 
-/// Answer of `GET /v1/entry`.
+/// Response body of `GET /v1/entry`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryBody {
-    /// Addresses to use, best first.
+    /// Addresses of entry hosts, in the order in which callers should try them.
     pub addresses: Vec<EntryAddress>,
-    /// How long the answer holds, in seconds.
+    /// How long callers may cache the response, in seconds.
     pub valid_for_s: u64,
-    /// The host that answered.
+    /// Name of the host that responded.
     pub host: String,
-    /// Its incarnation, in decimal.
+    /// Incarnation of that host, as a decimal number.
     pub incarnation: String,
-    /// Prefix for idempotency keys: append a part of your own.
+    /// Prefix for idempotency keys; the caller appends a unique part.
     pub key_prefix: String,
 }
 
-/// One address of the entry list.
+/// The address of an entry host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryAddress {
-    /// Name of the host.
+    /// Name of the entry host.
     pub host: String,
     /// `IP:port` for callers.
     pub address: String,
 }
 
-/// Body of every refusal.
+/// Response body of a refused request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusalBody {
-    /// Why, in one word.
+    /// Reason of the refusal, in kebab case.
     pub reason: String,
-    /// `not-run`, `ran` or `unknown`.
+    /// Whether the request ran: `not-run`, `ran` or `unknown`.
     pub outcome: String,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller should retry, in milliseconds; none when a retry does not
+    /// help.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Line of the rule that decided.
+    /// Line of the rule that caused the refusal, when one did.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rule_line: Option<u32>,
-    /// The request, for `jaypin explain`.
+    /// ID of the request, for `jaypin explain`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_id: Option<String>,
-    /// One sentence for a person.
+    /// Human-readable explanation in one sentence.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub message: Option<String>,
 }
@@ -65,82 +66,83 @@
     }
 }
 
-/// Body of a host's status.
+/// Response body of a host's status page.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusBody {
-    /// The host.
+    /// Name of the host.
     pub host: String,
-    /// Its incarnation.
+    /// Incarnation of the host's process.
     pub incarnation: u64,
-    /// Where it stands.
+    /// Failure domain (zone) of the host.
     pub failure_domain: String,
-    /// Address of the platform that it uses.
+    /// Address of the platform that the host uses.
     pub platform: String,
-    /// Version of the rules in force.
+    /// Version of the rules that the host uses.
     pub rules_version: u64,
-    /// Version of the host list in use.
+    /// Version of the host list that the host uses.
     pub hosts_version: u64,
-    /// Shards that it leads.
+    /// Number of shards that the host leads.
     pub shards_led: usize,
-    /// Its requests that wait.
+    /// Number of waiting requests that the host owns.
     pub waiting: usize,
-    /// Its requests that run.
+    /// Number of running requests that the host owns.
     pub running: usize,
-    /// Requests that wait in the shards it leads.
+    /// Number of requests that wait in the shards that the host leads.
     pub queued_here: usize,
-    /// Requests that run on slots granted by the shards it leads.
+    /// Number of requests that run on slots granted by the shards that the host leads.
     pub granted_here: usize,
-    /// Whether it is shutting down.
+    /// Whether the host is shutting down.
     pub draining: bool,
-    /// Entry hosts, as this host sees them.
+    /// Entry hosts, with the states that this host knows.
     pub hosts: Vec<HostState>,
-    /// Backend servers, as the host list names them.
+    /// Backend servers in the host list.
     pub backends: Vec<BackendState>,
-    /// Shards that it leads.
+    /// State of the shards that the host leads.
     pub shards: Vec<ShardState>,
-    /// Contents under which a backend server died.
+    /// Number of request contents during whose execution a backend server crashed.
     pub suspected_requests: usize,
-    /// Those of them that are refused.
+    /// Number of those contents that are refused.
     pub quarantined_requests: usize,
 }
 
-/// An entry host, as another sees it.
+/// An entry host with the state that another host knows of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostState {
-    /// Its name.
+    /// Name of the entry host.
     pub host: String,
-    /// `IP:port` for callers.
+    /// Address, `IP:port`, for callers.
     pub address: String,
     /// `alive`, `leaving`, `suspect` or `dead`.
     pub state: String,
 }
 
-/// A backend server, as the host list names it.
+/// A backend server in the host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendState {
-    /// Its name.
+    /// Name of the backend server.
     pub backend: String,
-    /// Its service.
+    /// Service of the backend server.
     pub service: String,
     /// `live` or `leaving`.
     pub state: String,
 }
 
-/// What a host knows of itself beside its counts.
+/// Identity of a host, for its status page.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostIdentity {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// This run of its process.
+    /// Incarnation of the host's process.
     pub incarnation: u64,
-    /// Where it stands.
+    /// Failure domain (zone) of the host.
     pub failure_domain: String,
-    /// Address of the platform that it uses.
+    /// Address of the platform that the host uses.
     pub platform: String,
 }
 
 impl StatusBody {
-    /// Joins what a host is with its counts and its view of the fleet.
+    /// Builds the status of a host. The two counts of suspected and quarantined requests are 0
+    /// until the caller sets them.
     #[must_use]
     pub fn new(
         own: &HostIdentity,
@@ -181,7 +183,8 @@
     }
 }
 
-/// What other hosts believe goes before the platform's list, which lags.
+/// Returns the state of an entry host. The membership table takes precedence over the
+/// platform's host list, which lags; but a host that the list marks as leaving is leaving.
 fn host_state(host: &HostRecord, members: &[(HostId, Member)]) -> &'static str {
     let member = members.iter().find(|(id, _)| *id == host.id);
     match (member, host.presence) {
--- a/crates/jaypin_wire/src/audit.rs
+++ b/crates/jaypin_wire/src/audit.rs
@@ -1,24 +1,27 @@
-//! The audit trail of rule changes: entries chained by digest, so that tampering shows.
+//! The audit trail of rule changes.
+//!
+//! Each entry contains the digest of the entry before it, so that tampering is detected.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Lower-case hexadecimal SHA-256 of an entry as it is kept.
+/// Lower-case hexadecimal SHA-256 of an entry's stored text.
 pub type EntryDigest = String;
 
-/// What became of a change.
+/// State of a change that an entry records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AuditKind {
-    /// It is about to be written; kept first, so that no accepted change is missing.
+    /// The change is about to be written. This entry is stored before the write, so that no
+    /// accepted change is missing from the trail.
     Proposed,
-    /// It is in force as a version.
+    /// The change was written and has a version.
     Accepted,
-    /// It was wrong and was not written.
+    /// The change was invalid and was not written.
     Refused,
-    /// Another change came first; nothing was written.
+    /// Another change was written first; this one was not written.
     LostRace,
 }
 
@@ -33,37 +36,38 @@
     }
 }
 
-/// One entry of the trail.
+/// An entry of the trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// Count of the entry, from 1.
+    /// Number of the entry, from 1.
     pub number: u64,
-    /// Digest of the entry before; empty for the first.
+    /// Digest of the previous entry; empty for the first one.
     pub previous: EntryDigest,
-    /// When, in seconds since the Unix epoch.
+    /// Time of the entry, in seconds since the Unix epoch.
     pub at: u64,
-    /// What became of the change.
+    /// State of the change.
     pub kind: AuditKind,
-    /// Id of the apply that this entry belongs to.
+    /// ID of the `jaypin rules apply` run that this entry belongs to.
     pub apply_id: String,
-    /// Who applied it.
+    /// Operator who applied the change.
     pub author: String,
-    /// Who asked for it.
+    /// Requesters of the change.
     pub requesters: Vec<String>,
-    /// The version it was edited from.
+    /// Version of the rules that the change was edited from.
     pub old_version: u64,
-    /// The version it became, or the one that came first.
+    /// Version that the change got or, when another change was written first, the version of
+    /// that change.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub new_version: Option<u64>,
     /// SHA-256 of the rule file.
     pub text_digest: String,
-    /// Lines that were removed and added; only in the first entry of an apply.
+    /// Removed and added lines; only in the first entry of an apply run.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub difference: Vec<String>,
-    /// Lines of the difference that found no room.
+    /// Number of lines left out of `difference` to limit the size of the entry.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub omitted_lines: usize,
-    /// Why it was refused.
+    /// Reason why the change was refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub note: Option<String>,
 }
@@ -73,29 +77,29 @@
     *count == 0
 }
 
-/// One object of the trail, kept behind the key `audit/N`.
+/// An object of the trail, stored under the key `audit/N`.
 ///
-/// Entries are kept as the text that was digested, so that a later release with other
-/// fields digests the same.
+/// Entries are stored as the text that was digested, so that a later release with other
+/// fields computes the same digests.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditSegment {
     /// Entries as JSON, oldest first.
     pub entries: Vec<String>,
 }
 
-/// The object behind the key `audit/head`.
+/// The object stored under the key `audit/head`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditHead {
-    /// A segment that exists; the newest is this one or a later one.
+    /// Number of a segment that exists; the newest segment is this one or a later one.
     pub segment: u64,
 }
 
-/// A place where the trail does not hold together.
+/// A broken entry of the trail.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AuditFault {
-    /// Place of the entry in the trail, from 1.
+    /// Position of the entry in the trail, from 1.
     pub position: u64,
-    /// What is wrong there.
+    /// What is wrong with the entry.
     pub message: String,
 }
 
@@ -105,16 +109,17 @@
     }
 }
 
-/// Digests an entry as it is kept.
+/// Computes the digest of an entry's stored text.
 #[must_use]
 pub fn digest_entry(text: &str) -> EntryDigest {
     hex::encode(Sha256::digest(text.as_bytes()))
 }
 
-/// Reads the trail and names every place where it does not hold together.
+/// Parses the entries of the trail and returns them with every fault found.
 ///
-/// It finds entries that were changed, removed from the middle, put in or reordered.
-/// Entries cut off at the end show only against a digest noted outside the platform.
+/// It detects entries that were changed, removed from the middle, inserted or reordered.
+/// Entries removed from the end can only be detected by comparing with a digest that was
+/// recorded outside the platform.
 #[must_use]
 pub fn verify_trail<'a>(
     entries: impl IntoIterator<Item = &'a str>,
@@ -132,16 +137,19 @@
                     });
                 };
                 if entry.number != place {
-                    fault(format!("it carries the number {}", entry.number));
+                    fault(format!(
+                        "found the number {}, expected {place}",
+                        entry.number
+                    ));
                 }
                 if entry.previous != previous {
-                    fault("it does not follow from the entry before it".to_owned());
+                    fault("its `previous` digest does not match the entry before it".to_owned());
                 }
                 read.push(entry);
             }
             Err(error) => faults.push(AuditFault {
                 position: place,
-                message: format!("it can't be read: {error}"),
+                message: format!("the entry can't be parsed: {error}"),
             }),
         }
         previous = digest_entry(text);
--- a/crates/jaypin_wire/src/claims.rs
+++ b/crates/jaypin_wire/src/claims.rs
@@ -1,26 +1,26 @@
-//! Claims on idempotency keys, as they travel.
+//! Wire form of the claims on idempotency keys.
 
 use std::sync::Arc;
 
 use jaypin_core::{ClaimSubject, ClaimVerdict, KeyOutcome, StoredAnswer};
 use serde::{Deserialize, Serialize};
 
-/// See [`ClaimSubject`]: account and fingerprint.
+/// Wire form of [`ClaimSubject`]: account, fingerprint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireSubject(Arc<str>, u64);
 
-/// See [`StoredAnswer`]: status, content type, body.
+/// Wire form of [`StoredAnswer`]: status, content type, body.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireStoredAnswer(u16, Arc<str>, Arc<[u8]>);
 
-/// See [`ClaimVerdict`].
+/// Wire form of [`ClaimVerdict`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum WireVerdict {
     /// See [`ClaimVerdict::Granted`].
     Granted,
     /// See [`ClaimVerdict::InFlight`].
     InFlight,
-    /// See [`ClaimVerdict::Done`].
+    /// See [`ClaimVerdict::Done`]: the answer, when it is still stored.
     Done(Option<WireStoredAnswer>),
     /// See [`ClaimVerdict::Unknown`].
     Unknown,
@@ -30,12 +30,12 @@
     Full,
 }
 
-/// See [`KeyOutcome`].
+/// Wire form of [`KeyOutcome`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum WireOutcome {
     /// See [`KeyOutcome::NotRun`].
     NotRun,
-    /// See [`KeyOutcome::Answered`].
+    /// See [`KeyOutcome::Answered`]: the answer, when it is small enough to store.
     Answered(Option<WireStoredAnswer>),
     /// See [`KeyOutcome::Unknown`].
     Unknown,
--- a/crates/jaypin_wire/src/codec.rs
+++ b/crates/jaypin_wire/src/codec.rs
@@ -1,30 +1,30 @@
-//! CBOR for everything between hosts.
+//! CBOR encoding of the frames between hosts.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use snafu::Snafu;
 
-/// A frame that could not be written or read.
+/// An error of CBOR encoding or decoding.
 #[derive(Debug, Snafu)]
 pub enum CodecError {
-    /// The value could not be written.
-    #[snafu(display("can't encode: {message}"))]
+    /// The value could not be encoded.
+    #[snafu(display("can't encode as CBOR: {message}"))]
     Encode {
-        /// What the codec says.
+        /// Error message of the CBOR library.
         message: String,
     },
-    /// The bytes are no such value.
-    #[snafu(display("can't decode: {message}"))]
+    /// The bytes are not valid CBOR or do not match the expected type.
+    #[snafu(display("can't decode CBOR: {message}"))]
     Decode {
-        /// What the codec says.
+        /// Error message of the CBOR library.
         message: String,
     },
 }
 
-/// Writes a value as CBOR.
+/// Encodes a value as CBOR.
 ///
 /// # Errors
-/// When the value can't be represented.
+/// Returns [`CodecError::Encode`] when CBOR can't represent the value.
 pub fn encode(value: &impl Serialize) -> Result<Vec<u8>, CodecError> {
     let mut buf = Vec::new();
     ciborium::into_writer(value, &mut buf).map_err(|error| CodecError::Encode {
@@ -33,10 +33,10 @@
     Ok(buf)
 }
 
-/// Reads a value from CBOR.
+/// Decodes a value from CBOR.
 ///
 /// # Errors
-/// When the bytes are no such value.
+/// Returns [`CodecError::Decode`] when the bytes are not valid CBOR or do not match the type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     ciborium::from_reader(bytes).map_err(|error| CodecError::Decode {
         message: error.to_string(),
--- a/crates/jaypin_wire/src/explain/mod.rs
+++ b/crates/jaypin_wire/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! The record of a request's decisions, as operators and callers read it.
+//! JSON form of the decision record of a request, for operators and callers.
 
 mod sentences;
 
@@ -7,130 +7,132 @@
 use jaypin_core::{CallOutcome, Candidate, GrantNumber, Refusal, Step};
 use serde::{Deserialize, Serialize};
 
-/// Everything that was decided about one request.
+/// The decision record of a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ExplainBody {
-    /// The request.
+    /// ID of the request.
     pub request_id: String,
-    /// The client account that it belongs to.
+    /// Client account of the request.
     pub account: String,
-    /// The service that it asks for.
+    /// Requested service.
     pub service: String,
-    /// Name of its tier.
+    /// Name of the request's tier.
     pub tier: String,
-    /// Version of the rules that it was read by.
+    /// Version of the rules that were used when the request arrived.
     pub rules_version: u64,
-    /// The rules that applied when it was read.
+    /// Rules that applied to the request when it arrived.
     pub rules: Vec<AppliedRule>,
-    /// What happened, in order.
+    /// Steps of the request, in order of time.
     pub steps: Vec<ExplainStep>,
 }
 
-/// A rule with who asked for it.
+/// A rule that applied to a request, with its requester.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedRule {
-    /// Its line in the rule file.
+    /// Line in the rule file.
     pub line: u32,
-    /// Its kind and name.
+    /// Kind and name of the rule; empty when not known.
     pub rule: String,
-    /// Who asked for it; callers are not told.
+    /// Requester of the rule; hidden from callers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub asked_by: Option<String>,
 }
 
-/// Something that happened.
+/// A step of a request with its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ExplainStep {
     /// Milliseconds since the request arrived.
     pub after_ms: f64,
-    /// What happened.
+    /// The step.
     #[serde(flatten)]
     pub what: StepBody,
 }
 
-/// What happened.
+/// A step of a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "kebab-case")]
 pub enum StepBody {
     /// The request was accepted.
     Arrived,
-    /// The host that owns its idempotency key answered.
+    /// The host that owns the request's idempotency key answered the claim.
     Claimed {
         /// `granted`, `in-flight`, `done`, `unknown`, `mismatch` or `full`.
         verdict: String,
     },
-    /// A shard scheduler was asked for a slot.
+    /// A slot was requested from a shard scheduler.
     Asked {
-        /// The shard.
+        /// Name of the shard.
         shard: String,
-        /// The host that leads it.
+        /// Host that leads the shard.
         leader: String,
-        /// Number of the ask, from 1.
+        /// Number of the slot request, from 1.
         attempt: u32,
     },
-    /// It was sent to a backend server.
+    /// The request was sent to a backend server.
     Dispatched {
-        /// The backend server; callers are not told.
+        /// Name of the backend server; empty for callers, from whom it is hidden.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         backend: String,
-        /// Number of the grant; none when the owner chose by itself.
+        /// Number of the slot grant, `INCARNATION.SEQUENCE`; none when the owner chose the backend
+        /// server without a shard scheduler.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         grant: Option<String>,
-        /// What was weighed, the chosen one first.
+        /// Backend servers that were considered, the chosen one first.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         candidates: Vec<CandidateBody>,
     },
-    /// The backend server could not be reached; no byte left.
+    /// The backend server could not be reached; no byte of the request was sent.
     NotReached,
-    /// The first token came.
+    /// The first token was received.
     FirstToken,
     /// The call ended.
     Finished {
-        /// Tokens that came.
+        /// Number of received tokens.
         tokens: u32,
         /// `complete`, `lost`, `died`, `failed` or `cancelled`.
         outcome: String,
     },
-    /// It was refused.
+    /// The request was refused.
     Refused {
-        /// Why, in one word.
+        /// Reason of the refusal, in kebab case.
         reason: String,
-        /// `not-run`, `ran` or `unknown`.
+        /// Whether the request ran: `not-run`, `ran` or `unknown`.
         outcome: String,
-        /// When the caller may come back, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds; none when a retry does not help.
         retry_after_ms: Option<u64>,
-        /// The rule that decided.
+        /// Rule that caused the refusal, when one did.
         rule: Option<AppliedRule>,
     },
 }
 
-/// A backend server that was weighed.
+/// A backend server that was considered for a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CandidateBody {
-    /// The backend server.
+    /// Name of the backend server.
     pub backend: String,
     /// Estimated time to the first token, in milliseconds.
     pub first_token_ms: f64,
-    /// Requests that it was running.
+    /// Number of requests that it was running.
     pub running: u32,
-    /// Requests that it may run at once.
+    /// Number of requests that it may run concurrently.
     pub limit: u32,
 }
 
 impl ExplainBody {
-    /// What the account's own callers see: what happened to their request, and nothing
-    /// that tells of other accounts' work, of the fleet or of who asked for a rule.
+    /// Returns the record as the callers of the request's own account may see it. Everything that
+    /// discloses other accounts' requests, the hosts and backend servers of the fleet or the
+    /// requesters of rules is removed.
     #[must_use]
     pub fn for_caller(mut self) -> Self {
         for rule in &mut self.rules {
             rule.asked_by = None;
         }
-        self.steps = self.steps.into_iter().filter_map(caller_step).collect();
+        self.steps = self.steps.into_iter().filter_map(redact_for_caller).collect();
         self
     }
 }
 
-fn caller_step(mut step: ExplainStep) -> Option<ExplainStep> {
+fn redact_for_caller(mut step: ExplainStep) -> Option<ExplainStep> {
     match &mut step.what {
         StepBody::Asked { .. } => return None,
         StepBody::Dispatched {
@@ -157,7 +159,7 @@
 }
 
 impl ExplainStep {
-    /// Joins a step with its time.
+    /// Creates a step at a time since the arrival of the request.
     #[must_use]
     pub fn new(after: Duration, what: StepBody) -> Self {
         Self {
@@ -186,7 +188,7 @@
                 candidates,
             } => Self::Dispatched {
                 backend: backend.to_string(),
-                grant: grant.map(number),
+                grant: grant.map(grant_name),
                 candidates: candidates.iter().map(CandidateBody::from).collect(),
             },
             Step::Claimed { verdict } => Self::Claimed {
@@ -196,7 +198,7 @@
             Step::FirstToken => Self::FirstToken,
             Step::Finished { tokens, outcome } => Self::Finished {
                 tokens: *tokens,
-                outcome: outcome_word(*outcome).to_owned(),
+                outcome: outcome_name(*outcome).to_owned(),
             },
             Step::Refused(refusal) => refusal.into(),
         }
@@ -230,11 +232,11 @@
     }
 }
 
-fn number(number: GrantNumber) -> String {
+fn grant_name(number: GrantNumber) -> String {
     format!("{}.{}", number.incarnation, number.sequence)
 }
 
-fn outcome_word(outcome: CallOutcome) -> &'static str {
+fn outcome_name(outcome: CallOutcome) -> &'static str {
     match outcome {
         CallOutcome::Complete => "complete",
         CallOutcome::ConnectionLost => "lost",
@@ -244,7 +246,7 @@
     }
 }
 
-/// Milliseconds with one digit behind the point.
+/// Converts to milliseconds, rounded to one decimal place.
 fn milliseconds(time: Duration) -> f64 {
     (time.as_secs_f64() * 10_000.0).round() / 10.0
 }
--- a/crates/jaypin_wire/src/explain/sentences.rs
+++ b/crates/jaypin_wire/src/explain/sentences.rs
@@ -1,25 +1,29 @@
-//! A record in plain sentences, for someone who did not make the decisions.
+//! Formats a decision record as sentences for readers who do not know the scheduler.
 
 use super::{AppliedRule, CandidateBody, ExplainBody, ExplainStep, StepBody};
 
 impl ExplainBody {
-    /// Says what happened, a line a sentence.
+    /// Formats the record, one sentence per line.
     #[must_use]
     pub fn sentences(&self) -> Vec<String> {
         let mut lines = vec![
             format!(
-                "Request {} of account `{}` asked service `{}` in tier `{}`.",
+                "Request {} of account `{}` for service `{}` in tier `{}`.",
                 self.request_id, self.account, self.service, self.tier
             ),
             format!("Version {} of the rules applied:", self.rules_version),
         ];
-        lines.extend(self.rules.iter().map(|rule| format!("  {}.", named(rule))));
-        lines.extend(self.steps.iter().flat_map(step));
+        lines.extend(
+            self.rules
+                .iter()
+                .map(|rule| format!("  {}.", rule_name(rule))),
+        );
+        lines.extend(self.steps.iter().flat_map(step_lines));
         lines
     }
 }
 
-fn named(rule: &AppliedRule) -> String {
+fn rule_name(rule: &AppliedRule) -> String {
     let asked_by = rule.asked_by.as_ref();
     let asked_by = asked_by.map_or(String::new(), |name| format!(", asked by {name}"));
     if rule.rule.is_empty() {
@@ -28,7 +32,7 @@
     format!("line {}, {}{asked_by}", rule.line, rule.rule)
 }
 
-fn step(step: &ExplainStep) -> Vec<String> {
+fn step_lines(step: &ExplainStep) -> Vec<String> {
     let after = step.after_ms;
     match &step.what {
         StepBody::Arrived => vec!["It was accepted.".to_owned()],
@@ -37,26 +41,26 @@
             leader,
             attempt,
         } => vec![format!(
-            "After {after} ms it asked {leader}, which leads shard {shard}, for a slot \
-             (ask {attempt})."
+            "After {after} ms it requested a slot from {leader}, the leader of shard {shard} \
+             (attempt {attempt})."
         )],
         StepBody::Dispatched {
             backend,
             grant,
             candidates,
-        } => dispatched(after, backend, grant.as_deref(), candidates),
+        } => dispatched_lines(after, backend, grant.as_deref(), candidates),
         StepBody::Claimed { verdict } => vec![format!(
-            "After {after} ms the host that owns its key answered `{verdict}`: {}.",
-            claim(verdict)
+            "After {after} ms the host that owns its idempotency key answered `{verdict}`: {}.",
+            claim_meaning(verdict)
         )],
         StepBody::NotReached => vec![format!(
-            "After {after} ms the backend server could not be reached; no byte of it left."
+            "After {after} ms the backend server could not be reached; no byte of the request was sent."
         )],
-        StepBody::FirstToken => vec![format!("After {after} ms the first token came.")],
+        StepBody::FirstToken => vec![format!("After {after} ms the first token arrived.")],
         StepBody::Finished { tokens, outcome } => {
             vec![format!(
                 "After {after} ms it ended with {tokens} tokens: {}.",
-                ending(outcome)
+                outcome_meaning(outcome)
             )]
         }
         StepBody::Refused {
@@ -64,11 +68,11 @@
             outcome,
             retry_after_ms,
             rule,
-        } => refused(after, reason, outcome, *retry_after_ms, rule.as_ref()),
+        } => refused_lines(after, reason, outcome, *retry_after_ms, rule.as_ref()),
     }
 }
 
-fn dispatched(
+fn dispatched_lines(
     after: f64,
     backend: &str,
     grant: Option<&str>,
@@ -79,7 +83,7 @@
     }
     let how = match grant {
         Some(number) => format!("it was granted slot {number} and sent"),
-        None => "its host chose by itself and sent it".to_owned(),
+        None => "its host placed it without a shard scheduler and sent it".to_owned(),
     };
     let mut lines = vec![format!(
         "After {after} ms {how} to backend server `{backend}`."
@@ -88,12 +92,12 @@
         lines.push(format!(
             "  Chosen: {}; {}.",
             estimate(chosen),
-            why(chosen, others)
+            choice_reason(chosen, others)
         ));
         lines.extend(
             others
                 .iter()
-                .map(|it| format!("  Weighed: {}.", estimate(it))),
+                .map(|it| format!("  Considered: {}.", estimate(it))),
         );
     }
     lines
@@ -106,46 +110,48 @@
     )
 }
 
-fn why(chosen: &CandidateBody, others: &[CandidateBody]) -> &'static str {
+fn choice_reason(chosen: &CandidateBody, others: &[CandidateBody]) -> &'static str {
     let mut earlier = others
         .iter()
         .filter(|other| other.first_token_ms < chosen.first_token_ms)
         .peekable();
     if others.is_empty() {
-        "no other was weighed"
+        "no other backend server was considered"
     } else if earlier.peek().is_none() {
-        "none was estimated to be earlier"
+        "no other had an earlier estimate"
     } else if earlier.all(|other| other.running >= other.limit) {
-        "those estimated to be earlier had no room"
+        "those with an earlier estimate had no free slot"
     } else {
-        "earlier ones were passed over for their load"
+        "those with an earlier estimate were skipped because of their load"
     }
 }
 
-fn claim(verdict: &str) -> &'static str {
+fn claim_meaning(verdict: &str) -> &'static str {
     match verdict {
-        "granted" => "the call may run, this once",
-        "in-flight" => "another request with the key is running",
-        "done" => "the key's call was answered before",
-        "unknown" => "what became of the key's call can't be known, so it is not run",
-        "mismatch" => "the key belongs to another call",
-        "full" => "there is no room for another key",
-        _ => "the answer has no longer text",
+        "granted" => "the call may run once",
+        "in-flight" => "another request with the same key is running",
+        "done" => "the call with this key was already answered",
+        "unknown" => {
+            "the outcome of an earlier call with this key is unknown, so this call is not run"
+        }
+        "mismatch" => "the key was already used for a different call",
+        "full" => "the key table is full",
+        _ => "no description of this answer",
     }
 }
 
-fn ending(outcome: &str) -> &'static str {
+fn outcome_meaning(outcome: &str) -> &'static str {
     match outcome {
-        "complete" => "the whole answer was passed on",
-        "lost" => "the backend server broke off or went silent",
-        "died" => "the backend server went down under it",
+        "complete" => "the complete answer was forwarded to the caller",
+        "lost" => "the connection to the backend server was lost or stayed silent",
+        "died" => "the backend server crashed during the call",
         "failed" => "the backend server answered with an error",
-        "cancelled" => "the caller left",
-        _ => "its end has no name",
+        "cancelled" => "the caller disconnected",
+        _ => "no description of this outcome",
     }
 }
 
-fn refused(
+fn refused_lines(
     after: f64,
     reason: &str,
     outcome: &str,
@@ -155,48 +161,48 @@
     let mut lines = vec![
         format!(
             "After {after} ms it was refused as `{reason}`: {}.",
-            meaning(reason)
+            reason_meaning(reason)
         ),
-        format!("  `{outcome}`: {}.", whether_it_ran(outcome)),
+        format!("  `{outcome}`: {}.", execution_meaning(outcome)),
     ];
     if let Some(rule) = rule {
-        lines.push(format!("  The rule that decided: {}.", named(rule)));
+        lines.push(format!("  Deciding rule: {}.", rule_name(rule)));
     }
     if let Some(wait) = retry_after_ms {
-        lines.push(format!("  The caller may come back after {wait} ms."));
+        lines.push(format!("  The caller may retry after {wait} ms."));
     }
     lines
 }
 
-fn whether_it_ran(outcome: &str) -> &'static str {
+fn execution_meaning(outcome: &str) -> &'static str {
     match outcome {
-        "not-run" => "no byte of it left for a backend server, so it was not run",
-        "ran" => "it ran, and its answer could not be given whole",
-        _ => "it left for a backend server, and what became of it there is not known",
+        "not-run" => "no byte of it was sent to a backend server, so it was not run",
+        "ran" => "it ran, but its answer could not be returned completely",
+        _ => "it was sent to a backend server, and its outcome there is unknown",
     }
 }
 
-/// What a refusal's reason means.
-fn meaning(reason: &str) -> &'static str {
+/// Describes the reason of a refusal.
+fn reason_meaning(reason: &str) -> &'static str {
     match reason {
         "draining" => "the host is shutting down",
         "not-ready" => "the host had no rules or no host list yet",
         "configuration-unproven" => {
             "the host could not prove that its configuration was the newest"
         }
-        "no-backend-server" => "no live backend server took it",
-        "shed" => "capacity ran out and its tier was the lowest that waited",
+        "no-backend-server" => "no live backend server was available for it",
+        "shed" => "capacity was exhausted and its tier was the lowest one waiting",
         "too-late" => "it could not be answered within its tier's deadline",
         "no-scheduler" => "no shard scheduler answered in time",
-        "over-limit" => "its client account was over a limit",
-        "quarantined" => "backend servers died under the same content",
-        "in-flight" => "a call with its key was running",
-        "key-unknown" => "what became of its key's call is not known",
-        "key-mismatch" => "its key was used for another call",
-        "key-table-full" => "the host that owns its key had no room for another",
-        "already-ran" => "its key's call was answered before, and the answer is not kept",
-        "backend-server-lost" => "the backend server broke off",
+        "over-limit" => "its client account had reached a limit",
+        "quarantined" => "backend servers crashed while running the same content",
+        "in-flight" => "another call with its key was running",
+        "key-unknown" => "the outcome of an earlier call with its key is unknown",
+        "key-mismatch" => "its key was already used for a different call",
+        "key-table-full" => "the key table of the host that owns its key was full",
+        "already-ran" => "the call with its key was already answered, and the answer is not stored",
+        "backend-server-lost" => "the connection to the backend server was lost",
         "backend-server-failed" => "the backend server answered with an error",
-        _ => "the reason has no longer text",
+        _ => "no description of this reason",
     }
 }
--- a/crates/jaypin_wire/src/host_list.rs
+++ b/crates/jaypin_wire/src/host_list.rs
@@ -1,11 +1,11 @@
-//! The host list as the platform keeps it, in JSON.
+//! The host list as the platform stores it, in JSON.
 
 use std::sync::Arc;
 
 use jaypin_core::{BackendRecord, HostList, HostRecord, Presence};
 use serde::{Deserialize, Serialize};
 
-/// The list as a whole; its version is the platform object's.
+/// The host list; its version is that of the platform object.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct WireHostList {
     /// Entry hosts.
@@ -14,42 +14,42 @@
     pub backends: Vec<WireBackend>,
 }
 
-/// One entry host.
+/// An entry host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireHost {
-    /// Name.
+    /// Name of the entry host.
     pub id: Arc<str>,
-    /// Address for callers.
+    /// Address for callers, `IP:port`.
     pub address: String,
-    /// Address for peer links.
+    /// Address for peer links, `IP:port`.
     pub link: String,
-    /// Where it stands.
+    /// Failure domain (zone) that it is in.
     pub failure_domain: Arc<str>,
-    /// Whether it is leaving.
+    /// Whether it gets no new work because it is being removed.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// One backend server.
+/// A backend server.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireBackend {
-    /// Name.
+    /// Name of the entry host.
     pub id: Arc<str>,
-    /// Its HTTP address.
+    /// HTTP address, `IP:port`.
     pub address: String,
     /// The service it belongs to.
     pub service: Arc<str>,
-    /// Where it stands.
+    /// Failure domain (zone) that it is in.
     pub failure_domain: Arc<str>,
-    /// Whether it is leaving.
+    /// Whether it gets no new work because it is being removed.
     #[serde(default)]
     pub leaving: bool,
-    /// Requests it can run at once.
+    /// Requests that it can run concurrently.
     pub slots: u32,
 }
 
 impl WireHostList {
-    /// Joins the list with the version of the object that held it.
+    /// Converts the list, adding the version of the platform object that it was read from.
     #[must_use]
     pub fn at_version(self, version: u64) -> HostList {
         HostList {
--- a/crates/jaypin_wire/src/lib.rs
+++ b/crates/jaypin_wire/src/lib.rs
@@ -1,7 +1,8 @@
-//! What jaypin's processes, its platform and its callers send each other.
+//! Serialized types: messages between hosts, JSON bodies for callers and operators, and
+//! objects stored on the platform.
 //!
-//! Wire types stand apart from the types of the decisions, with `From` and `TryFrom`
-//! between them, so that either side can change without the other.
+//! Wire types are separate from the decision types of `jaypin_core`, with `From`
+//! conversions between them, so that either side can change without the other.
 
 mod api;
 mod audit;
--- a/crates/jaypin_wire/src/link.rs
+++ b/crates/jaypin_wire/src/link.rs
@@ -1,4 +1,5 @@
-//! Frames of a peer link: a mutual proof of the fleet key, then messages.
+//! Frames of a peer link: a handshake in which both hosts prove that they have the fleet key,
+//! then messages.
 
 use std::sync::Arc;
 
@@ -12,86 +13,90 @@
 };
 use crate::{WireHostList, WireMember};
 
-/// Version of the link protocol; peers of another version are turned away.
+/// Version of the link protocol; connections of peers with another version are rejected.
 pub const LINK_VERSION: u16 = 3;
 
-/// One frame of a link.
+/// A frame of a peer link.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Frame {
-    /// First frame of the listener: a number used once, and nothing about itself.
+    /// The listener's first frame: a nonce. It discloses nothing about the listener, because the
+    /// dialer is not authenticated yet.
     Challenge([u8; 16]),
-    /// Who speaks; the first frame of the dialer, and the listener's once the dialer
-    /// proved itself.
+    /// Identity of the sender: the first frame of the dialer, and the second frame of the
+    /// listener, which sends it only after the dialer is authenticated.
     Hello(Hello),
-    /// A MAC over all that was said before, under the fleet key.
+    /// A MAC, keyed with the fleet key, over the sender's role (dialer or listener), the challenge
+    /// and the hellos sent so far.
     Proof(Vec<u8>),
-    /// Everything after.
+    /// A message; all frames after the handshake are messages.
     Message(WireMessage),
 }
 
-/// Who is at the other end.
+/// Identity of one end of a link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Version of the protocol.
+    /// Version of the link protocol.
     pub version: u16,
     /// Name of the host.
     pub host: Arc<str>,
-    /// Its incarnation.
+    /// Incarnation of the host's process.
     pub incarnation: u64,
-    /// A number used once, so that a recorded proof is worth nothing.
+    /// A random nonce, so that a recorded proof can't be replayed.
     pub nonce: [u8; 16],
 }
 
-/// A message between two hosts, as it travels.
+/// Wire form of [`Message`], a message between two hosts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum WireMessage {
     /// See [`Message::Ask`].
     Ask(WireAsk),
-    /// See [`Message::Queued`].
+    /// See [`Message::Queued`]: request, attempt, expected wait.
     Queued(Arc<str>, u32, WireTime),
     /// See [`Message::Grant`].
     Grant(WireGrant),
-    /// See [`Message::Refused`].
+    /// See [`Message::Refused`]: request, attempt, refusal, expected wait.
     Refused(Arc<str>, u32, WireRefusal, WireTime),
-    /// See [`Message::NotLeader`].
+    /// See [`Message::NotLeader`]: request, attempt.
     NotLeader(Arc<str>, u32),
-    /// See [`Message::Withdraw`].
+    /// See [`Message::Withdraw`]: shard, request.
     Withdraw(WireShard, Arc<str>),
-    /// See [`Message::Progress`].
+    /// See [`Message::Progress`]: shard, request, grant, progress.
     Progress(WireShard, Arc<str>, WireNumber, WireProgress),
-    /// See [`Message::Confirm`].
+    /// See [`Message::Confirm`]: shard, request, grant.
     Confirm(WireShard, Arc<str>, WireNumber),
-    /// See [`Message::Usage`].
+    /// See [`Message::Usage`]: shard, account, tokens, concurrent requests.
     Usage(WireShard, Arc<str>, f64, u32),
-    /// See [`Message::Allow`]: tokens a second, and requests at once.
+    /// See [`Message::Allow`]: shard, account, tokens per second, concurrent requests.
     Allow(WireShard, Arc<str>, f64, f64),
-    /// See [`Message::InFlight`].
+    /// See [`Message::InFlight`]: shard, running requests.
     InFlight(WireShard, Vec<WireInFlight>),
-    /// See [`Message::BackendCrashed`]: backend server, fingerprint, whether a token had come.
+    /// See [`Message::BackendCrashed`]: backend server, fingerprint, whether a first token was
+    /// received.
     Died(Arc<str>, u64, bool),
-    /// See [`Message::CrashCount`].
+    /// See [`Message::CrashCount`]: fingerprint, crash count.
     Strike(u64, u32),
-    /// See [`Message::Claim`].
+    /// See [`Message::Claim`]: key, request, subject.
     Claim(Arc<str>, Arc<str>, WireSubject),
-    /// See [`Message::Claimed`].
+    /// See [`Message::Claimed`]: key, request, verdict.
     Claimed(Arc<str>, Arc<str>, WireVerdict),
-    /// See [`Message::Settle`].
+    /// See [`Message::Settle`]: key, request, outcome.
     Settle(Arc<str>, Arc<str>, WireOutcome),
-    /// See [`Message::Settled`].
+    /// See [`Message::Settled`]: request.
     Settled(Arc<str>),
-    /// See [`Message::ClaimCheck`].
+    /// See [`Message::ClaimCheck`]: key, request.
     ClaimCheck(Arc<str>, Arc<str>),
-    /// See [`Message::Digest`]: versions of rules and host list, hash of the hosts.
+    /// See [`Message::Digest`]: version of the rules, version of the host list, hash of the
+    /// membership table.
     Digest(u64, u64, u64),
-    /// See [`Message::Fetch`].
+    /// See [`Message::Fetch`]: whether the rules are requested, whether the host list is.
     Fetch(bool, bool),
-    /// See [`Message::RuleText`].
+    /// See [`Message::RuleText`]: version, text of the rule file.
     RuleText(u64, Arc<str>),
-    /// See [`Message::Hosts`].
+    /// See [`Message::Hosts`]: version, host list.
     Hosts(u64, WireHostList),
-    /// See [`Message::Buckets`].
+    /// See [`Message::Buckets`]: hashes of the buckets.
     Buckets(Vec<u64>),
-    /// See [`Message::Members`].
+    /// See [`Message::Members`]: entries, numbers of the buckets that are complete.
     Members(Vec<WireMember>, Vec<u8>),
 }
 
--- a/crates/jaypin_wire/src/member.rs
+++ b/crates/jaypin_wire/src/member.rs
@@ -1,15 +1,15 @@
-//! Entries of the table of hosts, as they travel.
+//! Wire and JSON forms of the entries of the membership table.
 
 use std::sync::Arc;
 
 use jaypin_core::{HostId, Member, MemberStatus};
 use serde::{Deserialize, Serialize};
 
-/// See [`Member`]: host, incarnation, revision, status.
+/// Wire form of a host and its [`Member`] entry: host, incarnation, revision, status.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireMember(Arc<str>, u64, u32, WireStatus);
 
-/// See [`MemberStatus`].
+/// Wire form of [`MemberStatus`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub enum WireStatus {
     /// See [`MemberStatus::Alive`].
@@ -55,21 +55,21 @@
     }
 }
 
-/// One host in a status page.
+/// A host in the membership table, in JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberBody {
-    /// The host.
+    /// Name of the host.
     pub host: String,
-    /// Run of its process.
+    /// Incarnation of the host's process.
     pub incarnation: u64,
-    /// How often it refuted within that run.
+    /// How often the host refuted a report of its failure within this incarnation.
     pub revision: u32,
     /// `alive`, `leaving`, `suspect` or `dead`.
     pub status: String,
 }
 
 impl MemberBody {
-    /// Shows a table of hosts.
+    /// Converts the entries of the membership table.
     #[must_use]
     pub fn list(members: &[(HostId, Member)]) -> Vec<Self> {
         let body = |(host, member): &(HostId, Member)| Self {
--- a/crates/jaypin_wire/src/refusal.rs
+++ b/crates/jaypin_wire/src/refusal.rs
@@ -1,11 +1,11 @@
-//! Refusals between hosts, as they travel.
+//! Wire form of the refusals that hosts send each other.
 
 use jaypin_core::{Ran, Reason, Refusal};
 use serde::{Deserialize, Serialize};
 
 use crate::slots::WireTime;
 
-/// See [`Refusal`].
+/// Wire form of [`Refusal`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireRefusal {
     #[serde(rename = "r")]
@@ -18,12 +18,14 @@
     rule_line: Option<u32>,
 }
 
-/// Pairs each value of an enum with its wire twin, in both directions.
+/// Defines the wire form of an enum, with conversions in both directions.
+///
+/// Variants have the same names on both sides; the names are what is sent.
 macro_rules! twin_enum {
     ($(#[$doc:meta])* $wire:ident, $core:ident, [$($name:ident),* $(,)?]) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-        #[allow(missing_docs, reason = "each value is documented at its twin")]
+        #[allow(missing_docs, reason = "variants are documented at the core type")]
         pub enum $wire { $($name),* }
 
         impl From<$core> for $wire {
@@ -41,11 +43,11 @@
 }
 
 twin_enum!(
-    /// See [`Ran`].
+    /// Wire form of [`Ran`].
     WireRan, Ran, [NotRun, Ran, Unknown]
 );
 twin_enum!(
-    /// See [`Reason`].
+    /// Wire form of [`Reason`].
     WireReason,
     Reason,
     [
--- a/crates/jaypin_wire/src/rules_object.rs
+++ b/crates/jaypin_wire/src/rules_object.rs
@@ -1,33 +1,33 @@
-//! The rules as the platform keeps them, in JSON, with their last changes.
+//! The rules as the platform stores them, in JSON, with their last changes.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Changes that the object keeps; the audit trail keeps all.
-const KEPT_CHANGES: usize = 20;
+/// Number of changes stored in the object; the audit trail has all of them.
+const MAX_STORED_CHANGES: usize = 20;
 
-/// The object behind the key `rules`; its version is the platform object's.
+/// The object stored under the key `rules`; its version is that of the platform object.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RulesObject {
-    /// The rule file as its author wrote it; empty when it is kept in parts.
+    /// The unmodified text of the rule file; empty when it is stored in parts.
     pub text: String,
     /// Parts of a file that is too large for one object, in order.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub parts: Vec<RulesPart>,
-    /// Last changes, newest last.
+    /// Most recent accepted changes, newest last.
     #[serde(default)]
     pub changes: Vec<RulesChange>,
 }
 
-/// A part of a rule file, kept as a JSON string behind a key of its own.
+/// Reference to a part of a rule file, which is stored as a JSON string under its own key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RulesPart {
-    /// Lower-case hexadecimal SHA-256 of its text.
+    /// Lower-case hexadecimal SHA-256 of the part's text.
     pub digest: String,
 }
 
 impl RulesPart {
-    /// Names the part that holds a text.
+    /// Returns the reference to the part with the given text.
     #[must_use]
     pub fn from_text(text: &str) -> Self {
         Self {
@@ -35,48 +35,50 @@
         }
     }
 
-    /// The key it is kept behind; parts with the same text share it.
+    /// Returns the key of the part; parts with the same text share a key.
     #[must_use]
     pub fn key(&self) -> String {
         format!("rules/{}", self.digest)
     }
 
-    /// Whether a text is this part's.
+    /// Checks whether a text is the text of this part.
     #[must_use]
     pub fn has_text(&self, text: &str) -> bool {
         *self == Self::from_text(text)
     }
 }
 
-/// One accepted change.
+/// An accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RulesChange {
-    /// Id of the apply; settles a write whose answer was lost.
+    /// ID of the `jaypin rules apply` run. It shows whether a write whose response was lost
+    /// had succeeded.
     pub apply_id: String,
-    /// Who applied it.
+    /// Operator who applied the change.
     pub author: String,
-    /// When, in seconds since the Unix epoch.
+    /// Time of the change, in seconds since the Unix epoch.
     pub at: u64,
-    /// Who asked for it.
+    /// Requesters of the change.
     #[serde(default)]
     pub requesters: Vec<String>,
-    /// The version it was edited from.
+    /// Version of the rules that the change was edited from.
     #[serde(default)]
     pub edited_from: u64,
-    /// Lines added.
+    /// Number of added lines.
     #[serde(default)]
     pub added: usize,
-    /// Lines removed.
+    /// Number of removed lines.
     #[serde(default)]
     pub removed: usize,
 }
 
 impl RulesObject {
-    /// Gives the object after a change.
+    /// Returns the object with new rules and their change, which replaces the oldest stored
+    /// change when there is no space for another.
     #[must_use]
     pub fn with_change(&self, text: String, change: RulesChange) -> Self {
-        let kept = self.changes.len().saturating_sub(KEPT_CHANGES - 1);
-        let mut changes = self.changes[kept..].to_vec();
+        let first_kept = self.changes.len().saturating_sub(MAX_STORED_CHANGES - 1);
+        let mut changes = self.changes[first_kept..].to_vec();
         changes.push(change);
         Self {
             text,
@@ -85,24 +87,24 @@
         }
     }
 
-    /// Whether the newest change is that of an apply, or an earlier one is.
+    /// Returns the status of the change that an apply run made.
     #[must_use]
     pub fn change_status(&self, apply_id: &str) -> ChangeStatus {
         match self.changes.iter().rposition(|it| it.apply_id == apply_id) {
             None => ChangeStatus::Missing,
-            Some(place) if place + 1 == self.changes.len() => ChangeStatus::Current,
+            Some(position) if position + 1 == self.changes.len() => ChangeStatus::Current,
             Some(_) => ChangeStatus::Superseded,
         }
     }
 }
 
-/// Where the change of an apply stands.
+/// Status of the change that an apply run made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeStatus {
-    /// It is not among the last changes.
+    /// The change is not among the stored changes.
     Missing,
-    /// It was accepted, and another change followed.
+    /// The change was accepted, and another change has followed.
     Superseded,
-    /// It is the version in force.
+    /// The change is the newest version.
     Current,
 }
--- a/crates/jaypin_wire/src/shard_state.rs
+++ b/crates/jaypin_wire/src/shard_state.rs
@@ -1,48 +1,49 @@
-//! Shards in a host's status.
+//! JSON form of the shards in a host's status.
 
 use jaypin_core::ShardReport;
 use jaypin_rules::RuleSet;
 use serde::{Deserialize, Serialize};
 
-/// A shard that the host leads.
+/// State of a shard that the host leads.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardState {
-    /// Its name, `SERVICE/NUMBER`.
+    /// Name of the shard, `SERVICE/NUMBER`.
     pub shard: String,
-    /// Requests that wait, by tier, highest first.
+    /// Waiting requests by tier, highest tier first.
     pub waiting: Vec<TierWaiting>,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: usize,
-    /// Its backend servers.
+    /// Backend servers of the shard.
     pub backends: Vec<ShardBackend>,
 }
 
-/// Requests of one tier that wait.
+/// Waiting requests of one tier.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TierWaiting {
     /// Name of the tier.
     pub tier: String,
-    /// How many wait.
+    /// Number of waiting requests.
     pub requests: usize,
 }
 
-/// A backend server, as the shard's scheduler sees it.
+/// A backend server as its shard scheduler estimates it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardBackend {
-    /// Its name.
+    /// Name of the backend server.
     pub backend: String,
     /// `live`, `leaving`, `resting` or `overdue`.
     pub state: String,
-    /// Requests that run there.
+    /// Number of requests running on it.
     pub running: u32,
-    /// Requests that may run there at once, as learned.
+    /// Concurrency limit estimated from observed requests.
     pub limit: u32,
-    /// Prompt tokens a second, as learned.
+    /// Prefill rate estimated from observed requests, in prompt tokens per second.
     pub prefill_tokens_per_second: u32,
 }
 
 impl ShardState {
-    /// Names a report's tiers by the rules in force.
+    /// Converts a report, replacing the ranks of tiers by their names in the given rules. A
+    /// rank without a tier is shown as `rank N`.
     #[must_use]
     pub fn new(report: &ShardReport, rules: &RuleSet) -> Self {
         let waiting = report.waiting.iter().map(|(rank, requests)| TierWaiting {
@@ -56,7 +57,7 @@
             state: it.state.as_str().to_owned(),
             running: it.running,
             limit: it.limit,
-            prefill_tokens_per_second: whole(it.prefill_rate),
+            prefill_tokens_per_second: round_down(it.prefill_rate),
         });
         Self {
             shard: report.shard.to_string(),
@@ -70,8 +71,8 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "bounded before"
+    reason = "clamped to the range of u32"
 )]
-fn whole(rate: f64) -> u32 {
+fn round_down(rate: f64) -> u32 {
     rate.clamp(0.0, f64::from(u32::MAX)) as u32
 }
--- a/crates/jaypin_wire/src/slots.rs
+++ b/crates/jaypin_wire/src/slots.rs
@@ -1,6 +1,7 @@
-//! What request owners and shard schedulers say of slots, as it travels.
+//! Wire form of the slot messages between request owners and shard schedulers.
 //!
-//! These are sent several times for each request, so their fields are named by one letter.
+//! Several of them are sent for each request, so field names are shortened to one letter
+//! to save bytes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,19 +9,20 @@
 use jaypin_core::{Ask, Candidate, Grant, GrantNumber, InFlight, Shard, SlotProgress};
 use serde::{Deserialize, Serialize};
 
-/// A time in microseconds: a third of the bytes of seconds and nanoseconds by name.
+/// A duration in microseconds, which takes a third of the bytes of a `Duration` encoded
+/// with the names of its seconds and nanoseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireTime(u64);
 
-/// See [`Shard`].
+/// Wire form of [`Shard`]: service, index.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireShard(Arc<str>, u16);
 
-/// See [`GrantNumber`].
+/// Wire form of [`GrantNumber`]: incarnation, sequence.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct WireNumber(u64, u64);
 
-/// See [`Ask`].
+/// Wire form of [`Ask`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireAsk {
     #[serde(rename = "s")]
@@ -45,7 +47,7 @@
     prefixes: Vec<u64>,
 }
 
-/// See [`Grant`].
+/// Wire form of [`Grant`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireGrant {
     #[serde(rename = "s")]
@@ -64,24 +66,26 @@
     expected_wait: WireTime,
 }
 
-/// See [`Candidate`].
+/// Wire form of [`Candidate`]: backend server, time to the first token, running requests,
+/// limit of running requests.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireCandidate(Arc<str>, WireTime, u32, u32);
 
-/// See [`SlotProgress`].
+/// Wire form of [`SlotProgress`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub enum WireProgress {
     /// See [`SlotProgress::Returned`].
     Returned,
     /// See [`SlotProgress::NotReached`].
     NotReached,
-    /// See [`SlotProgress::FirstToken`].
+    /// See [`SlotProgress::FirstToken`]: time since dispatch.
     FirstToken(WireTime),
-    /// See [`SlotProgress::Finished`].
+    /// See [`SlotProgress::Finished`]: tokens, time since dispatch, whether the connection to
+    /// the backend server was lost.
     Finished(u32, WireTime, bool),
 }
 
-/// See [`InFlight`].
+/// Wire form of [`InFlight`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireInFlight {
     #[serde(rename = "i")]
