--- a/crates/jaypin_wire/src/claims.rs
+++ b/crates/jaypin_wire/src/claims.rs
@@ -7,7 +7,7 @@
 
 /// Wire form of [`ClaimSubject`]: account, fingerprint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct WireSubject(Arc<str>, u64);
+pub struct WireClaimSubject(Arc<str>, u64);
 
 /// Wire form of [`StoredAnswer`]: status, content type, body.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -15,7 +15,7 @@
 
 /// Wire form of [`ClaimVerdict`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum WireVerdict {
+pub enum WireClaimVerdict {
     /// See [`ClaimVerdict::Granted`].
     Granted,
     /// See [`ClaimVerdict::InFlight`].
@@ -32,7 +32,7 @@
 
 /// Wire form of [`KeyOutcome`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum WireOutcome {
+pub enum WireKeyOutcome {
     /// See [`KeyOutcome::NotRun`].
     NotRun,
     /// See [`KeyOutcome::Answered`]: the answer, when it is small enough to store.
@@ -41,14 +41,14 @@
     Unknown,
 }
 
-impl From<ClaimSubject> for WireSubject {
+impl From<ClaimSubject> for WireClaimSubject {
     fn from(subject: ClaimSubject) -> Self {
         Self(subject.account, subject.fingerprint)
     }
 }
 
-impl From<WireSubject> for ClaimSubject {
-    fn from(wire: WireSubject) -> Self {
+impl From<WireClaimSubject> for ClaimSubject {
+    fn from(wire: WireClaimSubject) -> Self {
         Self {
             account: wire.0,
             fingerprint: wire.1,
@@ -72,7 +72,7 @@
     }
 }
 
-impl From<ClaimVerdict> for WireVerdict {
+impl From<ClaimVerdict> for WireClaimVerdict {
     fn from(verdict: ClaimVerdict) -> Self {
         match verdict {
             ClaimVerdict::Granted => Self::Granted,
@@ -85,20 +85,20 @@
     }
 }
 
-impl From<WireVerdict> for ClaimVerdict {
-    fn from(wire: WireVerdict) -> Self {
+impl From<WireClaimVerdict> for ClaimVerdict {
+    fn from(wire: WireClaimVerdict) -> Self {
         match wire {
-            WireVerdict::Granted => Self::Granted,
-            WireVerdict::InFlight => Self::InFlight,
-            WireVerdict::Done(answer) => Self::Done(answer.map(StoredAnswer::from)),
-            WireVerdict::Unknown => Self::Unknown,
-            WireVerdict::Mismatch => Self::Mismatch,
-            WireVerdict::Full => Self::Full,
+            WireClaimVerdict::Granted => Self::Granted,
+            WireClaimVerdict::InFlight => Self::InFlight,
+            WireClaimVerdict::Done(answer) => Self::Done(answer.map(StoredAnswer::from)),
+            WireClaimVerdict::Unknown => Self::Unknown,
+            WireClaimVerdict::Mismatch => Self::Mismatch,
+            WireClaimVerdict::Full => Self::Full,
         }
     }
 }
 
-impl From<KeyOutcome> for WireOutcome {
+impl From<KeyOutcome> for WireKeyOutcome {
     fn from(outcome: KeyOutcome) -> Self {
         match outcome {
             KeyOutcome::NotRun => Self::NotRun,
@@ -108,12 +108,12 @@
     }
 }
 
-impl From<WireOutcome> for KeyOutcome {
-    fn from(wire: WireOutcome) -> Self {
+impl From<WireKeyOutcome> for KeyOutcome {
+    fn from(wire: WireKeyOutcome) -> Self {
         match wire {
-            WireOutcome::NotRun => Self::NotRun,
-            WireOutcome::Answered(answer) => Self::Answered(answer.map(StoredAnswer::from)),
-            WireOutcome::Unknown => Self::Unknown,
+            WireKeyOutcome::NotRun => Self::NotRun,
+            WireKeyOutcome::Answered(answer) => Self::Answered(answer.map(StoredAnswer::from)),
+            WireKeyOutcome::Unknown => Self::Unknown,
         }
     }
 }
--- a/crates/jaypin_wire/src/lib.rs
+++ b/crates/jaypin_wire/src/lib.rs
@@ -24,11 +24,11 @@
     AuditEntry, AuditFault, AuditHead, AuditKind, AuditSegment, EntryDigest, digest_entry,
     verify_trail,
 };
-pub use claims::{WireOutcome, WireStoredAnswer, WireSubject, WireVerdict};
+pub use claims::{WireClaimSubject, WireClaimVerdict, WireKeyOutcome, WireStoredAnswer};
 pub use codec::{CodecError, decode, encode};
 pub use explain::{AppliedRule, CandidateBody, ExplainBody, ExplainStep, StepBody};
 pub use host_list::{WireBackend, WireHost, WireHostList};
 pub use link::{Frame, Hello, LINK_VERSION, WireMessage};
-pub use member::{MemberBody, WireMember, WireStatus};
+pub use member::{MemberBody, WireMember, WireMemberStatus};
 pub use rules_object::{ChangeStatus, RulesChange, RulesObject, RulesPart};
 pub use shard_state::{ShardBackend, ShardState, TierWaiting};
--- a/crates/jaypin_wire/src/link.rs
+++ b/crates/jaypin_wire/src/link.rs
@@ -6,10 +6,10 @@
 use jaypin_core::{Allowance, Digest, HostId, InFlight, LostCall, Member, Message};
 use serde::{Deserialize, Serialize};
 
-use crate::claims::{WireOutcome, WireSubject, WireVerdict};
+use crate::claims::{WireClaimSubject, WireClaimVerdict, WireKeyOutcome};
 use crate::refusal::WireRefusal;
 use crate::slots::{
-    WireAsk, WireGrant, WireInFlight, WireNumber, WireProgress, WireShard, WireTime,
+    WireAsk, WireDuration, WireGrant, WireGrantNumber, WireInFlight, WireShard, WireSlotProgress,
 };
 use crate::{WireHostList, WireMember};
 
@@ -51,19 +51,19 @@
     /// See [`Message::Ask`].
     Ask(WireAsk),
     /// See [`Message::Queued`]: request, attempt, expected wait.
-    Queued(Arc<str>, u32, WireTime),
+    Queued(Arc<str>, u32, WireDuration),
     /// See [`Message::Grant`].
     Grant(WireGrant),
     /// See [`Message::Refused`]: request, attempt, refusal, expected wait.
-    Refused(Arc<str>, u32, WireRefusal, WireTime),
+    Refused(Arc<str>, u32, WireRefusal, WireDuration),
     /// See [`Message::NotLeader`]: request, attempt.
     NotLeader(Arc<str>, u32),
     /// See [`Message::Withdraw`]: shard, request.
     Withdraw(WireShard, Arc<str>),
     /// See [`Message::Progress`]: shard, request, grant, progress.
-    Progress(WireShard, Arc<str>, WireNumber, WireProgress),
+    Progress(WireShard, Arc<str>, WireGrantNumber, WireSlotProgress),
     /// See [`Message::Confirm`]: shard, request, grant.
-    Confirm(WireShard, Arc<str>, WireNumber),
+    Confirm(WireShard, Arc<str>, WireGrantNumber),
     /// See [`Message::Usage`]: shard, account, tokens, concurrent requests.
     Usage(WireShard, Arc<str>, f64, u32),
     /// See [`Message::Allow`]: shard, account, tokens per second, concurrent requests.
@@ -76,11 +76,11 @@
     /// See [`Message::CrashCount`]: fingerprint, crash count.
     Strike(u64, u32),
     /// See [`Message::Claim`]: key, request, subject.
-    Claim(Arc<str>, Arc<str>, WireSubject),
+    Claim(Arc<str>, Arc<str>, WireClaimSubject),
     /// See [`Message::Claimed`]: key, request, verdict.
-    Claimed(Arc<str>, Arc<str>, WireVerdict),
+    Claimed(Arc<str>, Arc<str>, WireClaimVerdict),
     /// See [`Message::Settle`]: key, request, outcome.
-    Settle(Arc<str>, Arc<str>, WireOutcome),
+    Settle(Arc<str>, Arc<str>, WireKeyOutcome),
     /// See [`Message::Settled`]: request.
     Settled(Arc<str>),
     /// See [`Message::ClaimCheck`]: key, request.
--- a/crates/jaypin_wire/src/member.rs
+++ b/crates/jaypin_wire/src/member.rs
@@ -7,11 +7,11 @@
 
 /// Wire form of a host and its [`Member`] entry: host, incarnation, revision, status.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct WireMember(Arc<str>, u64, u32, WireStatus);
+pub struct WireMember(Arc<str>, u64, u32, WireMemberStatus);
 
 /// Wire form of [`MemberStatus`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub enum WireStatus {
+pub enum WireMemberStatus {
     /// See [`MemberStatus::Alive`].
     #[serde(rename = "a")]
     Alive,
@@ -29,10 +29,10 @@
 impl From<(HostId, Member)> for WireMember {
     fn from((host, member): (HostId, Member)) -> Self {
         let status = match member.status {
-            MemberStatus::Alive => WireStatus::Alive,
-            MemberStatus::Leaving => WireStatus::Leaving,
-            MemberStatus::Suspect => WireStatus::Suspect,
-            MemberStatus::Dead => WireStatus::Dead,
+            MemberStatus::Alive => WireMemberStatus::Alive,
+            MemberStatus::Leaving => WireMemberStatus::Leaving,
+            MemberStatus::Suspect => WireMemberStatus::Suspect,
+            MemberStatus::Dead => WireMemberStatus::Dead,
         };
         Self(host, member.incarnation, member.revision, status)
     }
@@ -41,10 +41,10 @@
 impl From<WireMember> for (HostId, Member) {
     fn from(wire: WireMember) -> Self {
         let status = match wire.3 {
-            WireStatus::Alive => MemberStatus::Alive,
-            WireStatus::Leaving => MemberStatus::Leaving,
-            WireStatus::Suspect => MemberStatus::Suspect,
-            WireStatus::Dead => MemberStatus::Dead,
+            WireMemberStatus::Alive => MemberStatus::Alive,
+            WireMemberStatus::Leaving => MemberStatus::Leaving,
+            WireMemberStatus::Suspect => MemberStatus::Suspect,
+            WireMemberStatus::Dead => MemberStatus::Dead,
         };
         let member = Member {
             incarnation: wire.1,
--- a/crates/jaypin_wire/src/refusal.rs
+++ b/crates/jaypin_wire/src/refusal.rs
@@ -3,7 +3,7 @@
 use jaypin_core::{Ran, Reason, Refusal};
 use serde::{Deserialize, Serialize};
 
-use crate::slots::WireTime;
+use crate::slots::WireDuration;
 
 /// Wire form of [`Refusal`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -13,7 +13,7 @@
     #[serde(rename = "o")]
     ran: WireRan,
     #[serde(rename = "w")]
-    retry_after: Option<WireTime>,
+    retry_after: Option<WireDuration>,
     #[serde(rename = "l")]
     rule_line: Option<u32>,
 }
--- a/crates/jaypin_wire/src/slots.rs
+++ b/crates/jaypin_wire/src/slots.rs
@@ -12,7 +12,7 @@
 /// A duration in microseconds, which takes a third of the bytes of a `Duration` encoded
 /// with the names of its seconds and nanoseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WireTime(u64);
+pub struct WireDuration(u64);
 
 /// Wire form of [`Shard`]: service, index.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
 
 /// Wire form of [`GrantNumber`]: incarnation, sequence.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct WireNumber(u64, u64);
+pub struct WireGrantNumber(u64, u64);
 
 /// Wire form of [`Ask`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -40,9 +40,9 @@
     #[serde(rename = "m")]
     max_tokens: u32,
     #[serde(rename = "f")]
-    first_token_in: WireTime,
+    first_token_in: WireDuration,
     #[serde(rename = "w")]
-    whole_in: WireTime,
+    whole_in: WireDuration,
     #[serde(rename = "x")]
     prefixes: Vec<u64>,
 }
@@ -57,32 +57,32 @@
     #[serde(rename = "n")]
     attempt: u32,
     #[serde(rename = "g")]
-    number: WireNumber,
+    number: WireGrantNumber,
     #[serde(rename = "b")]
     backend: Arc<str>,
     #[serde(rename = "c")]
     candidates: Vec<WireCandidate>,
     #[serde(rename = "w")]
-    expected_wait: WireTime,
+    expected_wait: WireDuration,
 }
 
 /// Wire form of [`Candidate`]: backend server, time to the first token, running requests,
 /// limit of running requests.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct WireCandidate(Arc<str>, WireTime, u32, u32);
+pub struct WireCandidate(Arc<str>, WireDuration, u32, u32);
 
 /// Wire form of [`SlotProgress`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub enum WireProgress {
+pub enum WireSlotProgress {
     /// See [`SlotProgress::Returned`].
     Returned,
     /// See [`SlotProgress::NotReached`].
     NotReached,
     /// See [`SlotProgress::FirstToken`]: time since dispatch.
-    FirstToken(WireTime),
+    FirstToken(WireDuration),
     /// See [`SlotProgress::Finished`]: tokens, time since dispatch, whether the connection to
     /// the backend server was lost.
-    Finished(u32, WireTime, bool),
+    Finished(u32, WireDuration, bool),
 }
 
 /// Wire form of [`InFlight`].
@@ -91,7 +91,7 @@
     #[serde(rename = "i")]
     id: Arc<str>,
     #[serde(rename = "g")]
-    number: WireNumber,
+    number: WireGrantNumber,
     #[serde(rename = "b")]
     backend: Arc<str>,
     #[serde(rename = "a")]
@@ -104,14 +104,14 @@
     max_tokens: u32,
 }
 
-impl From<Duration> for WireTime {
+impl From<Duration> for WireDuration {
     fn from(time: Duration) -> Self {
         Self(u64::try_from(time.as_micros()).unwrap_or(u64::MAX))
     }
 }
 
-impl From<WireTime> for Duration {
-    fn from(wire: WireTime) -> Self {
+impl From<WireDuration> for Duration {
+    fn from(wire: WireDuration) -> Self {
         Self::from_micros(wire.0)
     }
 }
@@ -131,14 +131,14 @@
     }
 }
 
-impl From<GrantNumber> for WireNumber {
+impl From<GrantNumber> for WireGrantNumber {
     fn from(number: GrantNumber) -> Self {
         Self(number.incarnation, number.sequence)
     }
 }
 
-impl From<WireNumber> for GrantNumber {
-    fn from(wire: WireNumber) -> Self {
+impl From<WireGrantNumber> for GrantNumber {
+    fn from(wire: WireGrantNumber) -> Self {
         Self {
             incarnation: wire.0,
             sequence: wire.1,
@@ -234,7 +234,7 @@
     }
 }
 
-impl From<SlotProgress> for WireProgress {
+impl From<SlotProgress> for WireSlotProgress {
     fn from(progress: SlotProgress) -> Self {
         match progress {
             SlotProgress::Returned => Self::Returned,
@@ -249,15 +249,15 @@
     }
 }
 
-impl From<WireProgress> for SlotProgress {
-    fn from(wire: WireProgress) -> Self {
+impl From<WireSlotProgress> for SlotProgress {
+    fn from(wire: WireSlotProgress) -> Self {
         match wire {
-            WireProgress::Returned => Self::Returned,
-            WireProgress::NotReached => Self::NotReached,
-            WireProgress::FirstToken(after) => Self::FirstToken {
+            WireSlotProgress::Returned => Self::Returned,
+            WireSlotProgress::NotReached => Self::NotReached,
+            WireSlotProgress::FirstToken(after) => Self::FirstToken {
                 after: after.into(),
             },
-            WireProgress::Finished(tokens, after, lost) => Self::Finished {
+            WireSlotProgress::Finished(tokens, after, lost) => Self::Finished {
                 tokens,
                 after: after.into(),
                 lost,
