--- a/crates/jaypin_rules/examples/lookup.rs
+++ b/crates/jaypin_rules/examples/lookup.rs
@@ -1,4 +1,5 @@
-//! Measures parsing and look-ups by credential against the number of accounts.
+//! Measures the times of parsing a rule file and of looking up a caller by its credential, with
+//! and without the index, for several numbers of accounts.
 //!
 //! `cargo run --release -p jaypin_rules --example lookup`
 
@@ -7,26 +8,26 @@
 
 use jaypin_rules::{RuleIndex, RuleSet, digest_credential, parse};
 
-/// Look-ups in one measurement.
+/// Number of look-ups per measurement.
 const LOOKUPS: u32 = 2_000;
 
 fn main() {
-    println!("accounts  parse ms  indexed ns  walked ns");
+    println!("accounts  parse ms  indexed ns  linear ns");
     for accounts in [5, 100, 1_000, 17_000] {
         let text = rule_file(accounts);
         let start = Instant::now();
-        let indexed = parse(&text).expect("a right file");
-        let parsing = start.elapsed();
-        let walked = RuleSet {
+        let indexed = parse(&text).expect("a valid rule file");
+        let parse_time = start.elapsed();
+        let unindexed = RuleSet {
             index: RuleIndex::default(),
             ..indexed.clone()
         };
-        let (with, without) = (look_up(&indexed), look_up(&walked));
+        let (indexed_time, linear_time) = (look_up(&indexed), look_up(&unindexed));
         println!(
             "{accounts:8}  {:8.1}  {:10}  {:9}",
-            parsing.as_secs_f64() * 1e3,
-            with.as_nanos(),
-            without.as_nanos()
+            parse_time.as_secs_f64() * 1e3,
+            indexed_time.as_nanos(),
+            linear_time.as_nanos()
         );
     }
 }
--- a/crates/jaypin_rules/src/difference.rs
+++ b/crates/jaypin_rules/src/difference.rs
@@ -1,24 +1,24 @@
-//! What changed between two rule files, line by line.
+//! Comparison of two rule files, line by line.
 
 use std::fmt;
 
 use similar::{ChangeTag, TextDiff};
 
-/// One line that only one of two rule files has.
+/// A line that is in only one of two rule files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LineChange {
-    /// Only the old file has it.
+    /// A line that is only in the old file.
     Removed {
-        /// Its line in the old file, from 1.
+        /// Line number in the old file, from 1.
         line: usize,
-        /// The line.
+        /// Text of the line, without trailing white space.
         text: String,
     },
-    /// Only the new file has it.
+    /// A line that is only in the new file.
     Added {
-        /// Its line in the new file, from 1.
+        /// Line number in the new file, from 1.
         line: usize,
-        /// The line.
+        /// Text of the line, without trailing white space.
         text: String,
     },
 }
@@ -32,7 +32,8 @@
     }
 }
 
-/// Compares two rule files; a rule is a line, so a difference is a list of lines.
+/// Returns the lines in which two rule files differ. As each rule is one line, these are the
+/// removed and added rules.
 #[must_use]
 pub fn difference(old: &str, new: &str) -> Vec<LineChange> {
     let diff = TextDiff::from_lines(old, new);
--- a/crates/jaypin_rules/src/digest.rs
+++ b/crates/jaypin_rules/src/digest.rs
@@ -1,11 +1,12 @@
-//! Credentials are kept as digests only, so that the rule file gives none away.
+//! Digests of credentials. The rule file contains only digests, so that it discloses no
+//! credential.
 
 use sha2::{Digest, Sha256};
 
 /// Lower-case hexadecimal SHA-256 of a caller's credential.
 pub type CredentialDigest = String;
 
-/// Digests a caller's credential the way the rule file stores it.
+/// Returns the digest of a caller's credential, as written in the rule file.
 #[must_use]
 pub fn digest_credential(credential: &str) -> CredentialDigest {
     hex::encode(Sha256::digest(credential.as_bytes()))
--- a/crates/jaypin_rules/src/fields.rs
+++ b/crates/jaypin_rules/src/fields.rs
@@ -1,4 +1,4 @@
-//! Takes the fields of one rule, and notes every field that is wrong.
+//! Reads the fields of a rule and reports every invalid field.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt::Display;
@@ -11,51 +11,53 @@
 use crate::line::{RuleLine, column_of};
 use crate::nearest::name_hint;
 
-/// What the checks over the whole file have to know beside the rules.
+/// Data about the rules that the checks over the whole file need.
 #[derive(Debug, Default)]
-pub struct Places {
-    /// Where each field of each rule stands: line and field to column.
+pub struct CheckContext {
+    /// Column of the value of each field, by line and field name.
     pub columns: HashMap<(u32, &'static str), u32>,
-    /// Kind and name of rules that are wrong, so that references to them are not
-    /// reported as references to nothing.
-    pub faulty: HashSet<(String, String)>,
+    /// Kind and name of invalid rules, so that references to them are not reported as
+    /// references to missing rules.
+    pub invalid_rules: HashSet<(String, String)>,
 }
 
-/// The fields of one rule that are not taken yet.
+/// Reader for the fields of a rule.
 #[derive(Debug)]
 pub struct Fields<'a> {
     line: &'a RuleLine,
-    taken: Vec<&'static str>,
-    places: &'a mut Places,
+    read_fields: Vec<&'static str>,
+    context: &'a mut CheckContext,
     mistakes: &'a mut Vec<Mistake>,
 }
 
 impl<'a> Fields<'a> {
-    /// Begins with every field of a line.
-    pub fn new(line: &'a RuleLine, places: &'a mut Places, mistakes: &'a mut Vec<Mistake>) -> Self {
+    /// Creates a reader for the fields of a line that appends mistakes to `mistakes`.
+    pub fn new(
+        line: &'a RuleLine,
+        context: &'a mut CheckContext,
+        mistakes: &'a mut Vec<Mistake>,
+    ) -> Self {
         Self {
             line,
-            taken: Vec::new(),
-            places,
+            read_fields: Vec::new(),
+            context,
             mistakes,
         }
     }
 
-    // ------------------------------------------------------------------ taking
-
-    /// Takes a name: letters, digits, `-`, `_` and `.`.
+    /// Reads a required name, which consists of letters, digits, `-`, `_` and `.`.
     pub fn name(&mut self, field: &'static str) -> Option<String> {
         let scalar = self.required(field, "a name")?;
         self.check_name(field, &scalar)
     }
 
-    /// Takes a name that may be absent.
+    /// Reads an optional name.
     pub fn optional_name(&mut self, field: &'static str) -> Option<String> {
         let scalar = self.scalar(field, "a name")?;
         self.check_name(field, &scalar)
     }
 
-    /// Takes a list of names; an absent one is empty.
+    /// Reads an optional list of names; an absent list is empty.
     pub fn names(&mut self, field: &'static str) -> Vec<String> {
         let expected = "a list of names, `[ONE, OTHER]`";
         let line = self.line;
@@ -63,7 +65,7 @@
             return Vec::new();
         };
         let Node::Sequence(list) = node else {
-            self.wrong(field, describe(node), expected);
+            self.reject(field, describe(node), expected);
             return Vec::new();
         };
         let mut names = Vec::new();
@@ -82,19 +84,19 @@
         names
     }
 
-    /// Takes text of any kind.
+    /// Reads a required text.
     pub fn text(&mut self, field: &'static str, expected: &str) -> Option<String> {
         let scalar = self.required(field, expected)?;
         Some(scalar.as_str().to_owned())
     }
 
-    /// Takes a number.
+    /// Reads a required number, or a boolean when `T` is `bool`.
     pub fn number<T: FromStr>(&mut self, field: &'static str, expected: &str) -> Option<T> {
         let scalar = self.required(field, expected)?;
         self.parse(field, &scalar, expected)
     }
 
-    /// Takes a number that may be absent.
+    /// Reads an optional number.
     pub fn optional_number<T: FromStr>(
         &mut self,
         field: &'static str,
@@ -104,7 +106,7 @@
         self.parse(field, &scalar, expected)
     }
 
-    /// Takes a number, or its default when it is absent.
+    /// Reads an optional number with a default.
     pub fn number_or<T: FromStr>(
         &mut self,
         field: &'static str,
@@ -117,38 +119,39 @@
         }
     }
 
-    /// Takes one of a few words.
-    pub fn word<T: Copy>(&mut self, field: &'static str, words: &[(&str, T)]) -> Option<T> {
-        let known: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
+    /// Reads a required keyword and returns the value that belongs to it.
+    pub fn keyword<T: Copy>(&mut self, field: &'static str, keywords: &[(&str, T)]) -> Option<T> {
+        let known: Vec<&str> = keywords.iter().map(|(keyword, _)| *keyword).collect();
         let expected = format!("one of `{}`", known.join("`, `"));
         let scalar = self.required(field, &expected)?;
-        let found = words.iter().find(|(word, _)| *word == scalar.as_str());
+        let found = keywords
+            .iter()
+            .find(|(keyword, _)| *keyword == scalar.as_str());
         if found.is_none() {
             let hint = name_hint(scalar.as_str(), known);
             let found = format!("`{}`", scalar.as_str());
-            self.wrong(field, &found, &format!("{expected}{hint}"));
+            self.reject(field, &found, &format!("{expected}{hint}"));
         }
         found.map(|(_, value)| *value)
     }
 
-    // ------------------------------------------------------------------ judging
-
-    /// Whether a field is there, right or wrong.
+    /// Returns whether a field is present, valid or not.
     pub fn has(&self, field: &str) -> bool {
         self.line.mapping.get_node(field).is_some()
     }
 
-    /// Notes that a field can't have the value it has.
-    pub fn wrong(&mut self, field: &'static str, found: impl Display, expected: &str) {
+    /// Reports that the value of a field is invalid.
+    pub fn reject(&mut self, field: &'static str, found: impl Display, expected: &str) {
         let message = format!("`{field}`: found {found}, expected {expected}");
-        self.note(field, message);
+        self.report(field, message);
     }
 
-    /// Notes a mistake at a field.
-    pub fn note(&mut self, field: &'static str, message: String) {
+    /// Reports a mistake at the value of a field, or at the start of the line when the field is
+    /// absent.
+    pub fn report(&mut self, field: &'static str, message: String) {
         let line = self.line.origin.line;
         let column = self
-            .places
+            .context
             .columns
             .get(&(line, field))
             .copied()
@@ -156,17 +159,18 @@
         self.mistakes.push(Mistake::new(line, column, message));
     }
 
-    /// Notes every field that this kind of rule does not have.
+    /// Reports every field that this kind of rule does not have. It is called after all known
+    /// fields were read.
     pub fn finish(self) {
         for key in self.line.mapping.keys() {
             let name = key.as_str();
-            if self.taken.contains(&name) {
+            if self.read_fields.contains(&name) {
                 continue;
             }
-            let hint = name_hint(name, self.taken.iter().copied());
+            let hint = name_hint(name, self.read_fields.iter().copied());
             let message = format!(
                 "unknown field `{name}`, expected one of `{}`{hint}",
-                self.taken.join("`, `")
+                self.read_fields.join("`, `")
             );
             let column = column_of(key.span().start());
             self.mistakes
@@ -174,14 +178,12 @@
         }
     }
 
-    // ------------------------------------------------------------------ inside
-
     fn node(&mut self, field: &'static str) -> Option<&'a Node> {
-        self.taken.push(field);
+        self.read_fields.push(field);
         let node = self.line.mapping.get_node(field)?;
         let column = column_of(node.span().start());
-        let place = (self.line.origin.line, field);
-        self.places.columns.insert(place, column);
+        let key = (self.line.origin.line, field);
+        self.context.columns.insert(key, column);
         Some(node)
     }
 
@@ -189,14 +191,14 @@
         let node = self.node(field)?;
         let scalar = node.as_scalar().filter(|scalar| !scalar.is_empty());
         if scalar.is_none() {
-            self.wrong(field, describe(node), expected);
+            self.reject(field, describe(node), expected);
         }
         scalar.cloned()
     }
 
     fn required(&mut self, field: &'static str, expected: &str) -> Option<MarkedScalarNode> {
         if self.line.mapping.get_node(field).is_none() {
-            self.taken.push(field);
+            self.read_fields.push(field);
             let column = column_of(self.line.mapping.span().start());
             let message = format!("field `{field}` is missing, expected {expected}");
             self.mistakes
@@ -212,7 +214,7 @@
             return Some(name.to_owned());
         }
         let found = format!("`{name}`");
-        self.wrong(field, found, "a name of letters, digits, `-`, `_` and `.`");
+        self.reject(field, found, "a name of letters, digits, `-`, `_` and `.`");
         None
     }
 
@@ -232,7 +234,7 @@
             } else {
                 format!("the quoted text `{}`", scalar.as_str())
             };
-            self.wrong(field, found, expected);
+            self.reject(field, found, expected);
         }
         parsed
     }
--- a/crates/jaypin_rules/src/index.rs
+++ b/crates/jaypin_rules/src/index.rs
@@ -1,13 +1,13 @@
-//! Maps from names to places in a [`RuleSet`], for look-ups at many thousand accounts.
+//! Maps from names to positions in a [`RuleSet`], for fast look-ups with many thousand accounts.
 
 use std::collections::HashMap;
 
 use crate::RuleSet;
 
-/// Places of rules by name.
+/// Positions of rules by name.
 ///
-/// It belongs to the rules it was built from; look-ups of rules that were added since
-/// then walk through the list instead.
+/// The index is valid for the rules that it was built from. When rules were added since
+/// then, look-ups search the list linearly instead.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RuleIndex {
     pub(crate) models: HashMap<String, usize>,
@@ -19,35 +19,35 @@
 }
 
 impl RuleIndex {
-    /// Builds the index of some rules; of two rules with one name the first is found.
+    /// Builds the index of a set of rules; of rules with the same name the first is indexed.
     #[must_use]
     pub fn build(rules: &RuleSet) -> Self {
         let mut routes: HashMap<String, HashMap<String, usize>> = HashMap::new();
-        for (place, rule) in rules.routes.iter().enumerate() {
+        for (position, rule) in rules.routes.iter().enumerate() {
             let of_service = routes.entry(rule.service.clone()).or_default();
-            of_service.entry(rule.route.clone()).or_insert(place);
+            of_service.entry(rule.route.clone()).or_insert(position);
         }
         let mut models = HashMap::new();
-        for (place, rule) in rules.services.iter().enumerate() {
+        for (position, rule) in rules.services.iter().enumerate() {
             for model in &rule.models {
-                models.entry(model.clone()).or_insert(place);
+                models.entry(model.clone()).or_insert(position);
             }
         }
         Self {
             models,
             routes,
             route_count: rules.routes.len(),
-            accounts: places(rules.accounts.iter().map(|rule| &rule.name)),
-            callers: places(rules.callers.iter().map(|rule| &rule.digest)),
-            limits: places(rules.limits.iter().map(|rule| &rule.account)),
+            accounts: positions(rules.accounts.iter().map(|rule| &rule.name)),
+            callers: positions(rules.callers.iter().map(|rule| &rule.digest)),
+            limits: positions(rules.limits.iter().map(|rule| &rule.account)),
         }
     }
 }
 
-fn places<'a>(names: impl Iterator<Item = &'a String>) -> HashMap<String, usize> {
-    let mut places = HashMap::new();
-    for (place, name) in names.enumerate() {
-        places.entry(name.clone()).or_insert(place);
+fn positions<'a>(names: impl Iterator<Item = &'a String>) -> HashMap<String, usize> {
+    let mut positions = HashMap::new();
+    for (position, name) in names.enumerate() {
+        positions.entry(name.clone()).or_insert(position);
     }
-    places
+    positions
 }
--- a/crates/jaypin_rules/src/kinds.rs
+++ b/crates/jaypin_rules/src/kinds.rs
@@ -1,10 +1,10 @@
-//! The kinds of rule and their fields.
+//! Parsers for each kind of rule.
 
 use std::time::Duration;
 
 use marked_yaml::types::MarkedScalarNode;
 
-use crate::fields::{Fields, Places};
+use crate::fields::{CheckContext,Fields};
 use crate::line::{RuleLine, column_of};
 use crate::nearest::name_hint;
 use crate::rule::{
@@ -13,7 +13,7 @@
 };
 use crate::{Mistake, RuleSet};
 
-/// Kinds of rule; the first field of a line names one.
+/// Kinds of rule; the key of a line's first field is the kind of its rule.
 const KINDS: [&str; 8] = [
     "tier",
     "service",
@@ -24,24 +24,24 @@
     "fencing",
     "quarantine",
 ];
-/// Digits of a SHA-256 digest.
+/// Hexadecimal digits of a SHA-256 digest.
 const DIGEST_LEN: usize = 64;
 
 const MILLISECONDS: &str = "a whole number of milliseconds";
 const COUNT: &str = "a whole number";
 const DECIMAL: &str = "a number";
 
-/// Reads one rule into the set, and adds everything that is wrong with it.
+/// Parses a rule, adds it to the set and appends its mistakes to `mistakes`.
 pub fn read_rule(
     rules: &mut RuleSet,
     line: &RuleLine,
-    places: &mut Places,
+    context: &mut CheckContext,
     mistakes: &mut Vec<Mistake>,
 ) {
     let first = line.mapping.keys().next();
     let kind = first.map_or("", MarkedScalarNode::as_str);
     let mistakes_before = mistakes.len();
-    let mut fields = Fields::new(line, places, mistakes);
+    let mut fields = Fields::new(line, context, mistakes);
     match kind {
         "tier" => rules.tiers.extend(tier(&mut fields, line)),
         "service" => rules.services.extend(service(&mut fields, line)),
@@ -53,21 +53,21 @@
         "quarantine" => {
             let earlier = rules.quarantine.origin.line;
             if earlier > 0 {
-                let message = format!("a quarantine rule stands in line {earlier} already");
-                fields.note("quarantine", message);
+                let message = format!("a quarantine rule already exists in line {earlier}");
+                fields.report("quarantine", message);
             }
             if let Some(rule) = quarantine(&mut fields, line) {
                 rules.quarantine = rule;
             }
         }
         _ => {
-            let place = first.map_or(line.mapping.span(), MarkedScalarNode::span);
+            let span = first.map_or(line.mapping.span(), MarkedScalarNode::span);
             let message = format!(
                 "found the kind `{kind}`, expected the first field to be one of `{}`{}",
                 KINDS.join("`, `"),
                 name_hint(kind, KINDS)
             );
-            let column = column_of(place.start());
+            let column = column_of(span.start());
             mistakes.push(Mistake::new(line.origin.line, column, message));
             return;
         }
@@ -75,17 +75,17 @@
     fields.finish();
     let name = line.mapping.get_scalar(kind).map(MarkedScalarNode::as_str);
     if let Some(name) = name.filter(|_| mistakes.len() > mistakes_before) {
-        places.faulty.insert((kind.to_owned(), name.to_owned()));
+        context.invalid_rules.insert((kind.to_owned(), name.to_owned()));
     }
 }
 
 fn tier(fields: &mut Fields<'_>, line: &RuleLine) -> Option<TierRule> {
     let name = fields.name("tier");
     let rank = fields.number("rank", "a rank from 0 to 255");
-    let first_token = milliseconds(fields, "first-token-ms");
-    let gap = milliseconds(fields, "gap-ms");
-    let whole = milliseconds(fields, "whole-ms");
-    let weight = positive(fields, "weight");
+    let first_token = duration(fields, "first-token-ms");
+    let gap = duration(fields, "gap-ms");
+    let whole = duration(fields, "whole-ms");
+    let weight = positive_number(fields, "weight");
     let reserve = fields.number_or("reserve", 0, COUNT);
     let minimum_percent = fields.number_or("minimum-percent", 0, "a percentage from 0 to 100");
     if let (Some(first), Some(whole)) = (first_token, whole)
@@ -93,12 +93,12 @@
     {
         let found = format!("{} ms", whole.as_millis());
         let expected = format!("at least `first-token-ms`, {} ms", first.as_millis());
-        fields.wrong("whole-ms", found, &expected);
+        fields.reject("whole-ms", found, &expected);
     }
     if let Some(percent) = minimum_percent
         && percent > 100
     {
-        fields.wrong("minimum-percent", percent, "a percentage from 0 to 100");
+        fields.reject("minimum-percent", percent, "a percentage from 0 to 100");
     }
     Some(TierRule {
         name: name?,
@@ -115,20 +115,20 @@
 
 fn service(fields: &mut Fields<'_>, line: &RuleLine) -> Option<ServiceRule> {
     let name = fields.name("service");
-    let words = [
+    let keywords = [
         ("engine", ServiceKind::Engine),
         ("plain", ServiceKind::Plain),
     ];
-    let kind = fields.word("kind", &words);
+    let kind = fields.keyword("kind", &keywords);
     let models = fields.names("models");
     let tier = fields.name("tier");
     if kind == Some(ServiceKind::Plain) && !models.is_empty() {
-        let message = "`models`: a plain service has none".to_owned();
-        fields.note("models", message);
+        let message = "`models`: a plain service can't have models".to_owned();
+        fields.report("models", message);
     }
     if kind == Some(ServiceKind::Engine) && models.is_empty() {
         let message = "`models`: an engine service needs at least one model".to_owned();
-        fields.note("service", message);
+        fields.report("service", message);
     }
     Some(ServiceRule {
         name: name?,
@@ -144,10 +144,10 @@
     let route = fields.text("route", expected);
     let service = fields.name("service");
     let tier = fields.optional_name("tier");
-    let words = [("idempotent", Repeat::Idempotent), ("never", Repeat::Never)];
-    let repeat = fields.word("repeat", &words);
+    let keywords = [("idempotent", Repeat::Idempotent), ("never", Repeat::Never)];
+    let repeat = fields.keyword("repeat", &keywords);
     if let Some(text) = route.as_deref().filter(|text| !is_route(text)) {
-        fields.wrong("route", format!("`{text}`"), expected);
+        fields.reject("route", format!("`{text}`"), expected);
     }
     Some(RouteRule {
         route: route?,
@@ -160,7 +160,7 @@
 
 fn account(fields: &mut Fields<'_>, line: &RuleLine) -> Option<AccountRule> {
     let name = fields.name("account");
-    let share = positive(fields, "share");
+    let share = positive_number(fields, "share");
     Some(AccountRule {
         name: name?,
         share: share?,
@@ -173,9 +173,9 @@
     let digest = fields.text("caller", expected);
     let account = fields.name("account");
     if let Some(text) = digest.as_deref().filter(|text| !is_digest(text)) {
-        // The text may be the credential itself, so it is not shown.
-        let found = format!("{} characters that are no digest", text.chars().count());
-        fields.wrong("caller", found, expected);
+        // The text may be the credential itself, so the message does not contain it.
+        let found = format!("{} characters that are not a digest", text.chars().count());
+        fields.reject("caller", found, expected);
     }
     Some(CallerRule {
         digest: digest?,
@@ -190,19 +190,19 @@
     let tokens_per_second = fields.optional_number("tokens-per-second", expected);
     let concurrent = fields.optional_number("concurrent", "a whole number above 0");
     if tokens_per_second.is_some_and(|rate: f64| !is_positive(rate)) {
-        fields.wrong(
+        fields.reject(
             "tokens-per-second",
-            "a limit that lets nothing run",
+            "a limit that allows no requests",
             expected,
         );
     }
     if concurrent == Some(0) {
-        let found = "a limit that lets nothing run";
-        fields.wrong("concurrent", found, "a whole number above 0");
+        let found = "a limit that allows no requests";
+        fields.reject("concurrent", found, "a whole number above 0");
     }
     if !fields.has("tokens-per-second") && !fields.has("concurrent") {
         let message = "a limit needs `tokens-per-second`, `concurrent` or both".to_owned();
-        fields.note("limit", message);
+        fields.report("limit", message);
     }
     Some(LimitRule {
         account: account?,
@@ -223,10 +223,11 @@
 }
 
 fn quarantine(fields: &mut Fields<'_>, line: &RuleLine) -> Option<QuarantineRule> {
-    let strikes = fields.number("quarantine", "a number of lost backend servers above 0");
-    let hold = milliseconds(fields, "hold-ms");
+    let strikes = fields.number("quarantine", "a number of crashed backend servers above 0");
+    let hold = duration(fields, "hold-ms");
     if strikes == Some(0) {
-        fields.wrong("quarantine", 0, "a number of lost backend servers above 0");
+        fields.reject("quarantine", 0,
+            "a number of crashed backend servers above 0",);
     }
     Some(QuarantineRule {
         crash_limit: strikes?,
@@ -235,18 +236,18 @@
     })
 }
 
-fn milliseconds(fields: &mut Fields<'_>, field: &'static str) -> Option<Duration> {
+fn duration(fields: &mut Fields<'_>, field: &'static str) -> Option<Duration> {
     let value = fields.number(field, MILLISECONDS)?;
     if value == 0 {
-        fields.wrong(field, 0, "a time above 0 ms");
+        fields.reject(field, 0, "a time above 0 ms");
     }
     Some(Duration::from_millis(value))
 }
 
-fn positive(fields: &mut Fields<'_>, field: &'static str) -> Option<f64> {
+fn positive_number(fields: &mut Fields<'_>, field: &'static str) -> Option<f64> {
     let value = fields.number_or(field, 1.0, DECIMAL)?;
     if !is_positive(value) {
-        fields.wrong(field, value, "a number above 0");
+        fields.reject(field, value, "a number above 0");
     }
     Some(value)
 }
@@ -263,7 +264,7 @@
     is_method && path.starts_with('/') && !path.contains(char::is_whitespace)
 }
 
-/// Whether a text is a SHA-256 in lower-case hexadecimal digits.
+/// Checks whether a text is a SHA-256 digest in lower-case hexadecimal digits.
 pub fn is_digest(text: &str) -> bool {
     let is_digit = |c: char| matches!(c, '0'..='9' | 'a'..='f');
     text.len() == DIGEST_LEN && text.chars().all(is_digit)
--- a/crates/jaypin_rules/src/lib.rs
+++ b/crates/jaypin_rules/src/lib.rs
@@ -1,8 +1,9 @@
-//! The rule file of jaypin: what operators decide, one rule a line.
+//! The rule file of jaypin, with which operators configure scheduling.
 //!
-//! Each line of the file is one YAML flow mapping followed by a comment that names
-//! who asked for the rule, so that a monitor can trace every decision to a requester.
-//! This crate is free of I/O: text in, a [`RuleSet`] or a list of [`Mistake`]s out.
+//! Each line of the file is a YAML flow mapping with one rule, followed by a comment that
+//! names the requester of the rule, so that every decision can be traced to a requester.
+//! This crate does no I/O: [`parse`] turns the text of a file into a [`RuleSet`] or a list
+//! of [`Mistake`]s.
 
 mod check;
 mod difference;
--- a/crates/jaypin_rules/src/mistake.rs
+++ b/crates/jaypin_rules/src/mistake.rs
@@ -1,8 +1,8 @@
-//! What is wrong with a rule file, and where.
+//! Mistakes in a rule file, with their positions.
 
 use std::fmt;
 
-/// One mistake in a rule file.
+/// A mistake in a rule file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Mistake {
     /// Line in the file, from 1.
@@ -14,7 +14,7 @@
 }
 
 impl Mistake {
-    /// Builds a mistake at a place in the file.
+    /// Creates a mistake at a position in the file.
     pub fn new(line: u32, column: u32, message: impl Into<String>) -> Self {
         Self {
             line,
--- a/crates/jaypin_rules/src/redact.rs
+++ b/crates/jaypin_rules/src/redact.rs
@@ -1,21 +1,21 @@
-//! Hides credentials that stand in a rule file in place of their digests.
+//! Removes credentials that were written into a rule file in place of their digests.
 
 use crate::kinds::is_digest;
 use crate::line::read_line;
 
 /// Field whose value may be a credential by mistake.
-const CALLER: &str = "caller:";
-/// What is shown in its place.
+const CALLER_FIELD: &str = "caller:";
+/// Text that replaces a credential.
 const HIDDEN: &str = "[not a digest, not shown]";
 
-/// Gives a line as it may be kept and shown: a `caller` that is no digest is hidden.
+/// Returns a line as it may be stored and shown: a `caller` that is not a digest is replaced.
 ///
-/// Guards against a credential written into the file in place of its digest: the file
-/// is refused, but its lines go into the audit trail, which many may read for long. It
-/// works on the text, because such a line need not be YAML.
+/// Guards against a credential that is written into the file in place of its digest. The file
+/// is refused, but its lines are stored in the audit trail, which is kept for long and has many
+/// readers. The function works on text, as such a line need not be valid YAML.
 #[must_use]
 pub fn redact_line(line: &str) -> String {
-    let Some(start) = line.find(CALLER).map(|at| at + CALLER.len()) else {
+    let Some(start) = line.find(CALLER_FIELD).map(|at| at + CALLER_FIELD.len()) else {
         return line.to_owned();
     };
     let (before, rest) = line.split_at(start);
@@ -24,13 +24,12 @@
     if is_digest(value.trim().trim_matches(['"', '\''])) {
         return line.to_owned();
     }
-    // A credential may hold a comma or a brace itself; what follows is hidden as well,
-    // up to the comment.
+    // A credential may contain a comma or a brace, so everything up to the comment is removed.
     let comment = after.find('#').map_or("", |at| &after[at..]);
     format!("{before} {HIDDEN} {comment}").trim_end().to_owned()
 }
 
-/// Who asked for the rule in a line, right or wrong.
+/// Returns the requester of the rule in a line, also when the rule's fields are invalid.
 #[must_use]
 pub fn requester_of(line: &str) -> Option<String> {
     let line = read_line(1, line, &mut Vec::new())?;
--- a/crates/jaypin_rules/src/rule.rs
+++ b/crates/jaypin_rules/src/rule.rs
@@ -1,24 +1,24 @@
-//! The kinds of rule, each with the place it came from.
+//! The kinds of rule, each with its line and requester.
 
 use std::time::Duration;
 
 use crate::CredentialDigest;
 
-/// Where a rule stands in the file and who asked for it.
+/// Line and requester of a rule.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Origin {
     /// Line in the file, from 1.
     pub line: u32,
-    /// The requester named in the comment behind the rule.
+    /// Requester named in the comment after the rule.
     pub requester: String,
 }
 
-/// A tier of work.
+/// A priority class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TierRule {
     /// Name that callers give in `x-jaypin-tier`.
     pub name: String,
-    /// Order of service: 0 is served first and shed last.
+    /// Priority: 0 is served first and shed last.
     pub rank: u8,
     /// Longest acceptable time from arrival to the first token.
     pub first_token: Duration,
@@ -26,61 +26,61 @@
     pub gap: Duration,
     /// Longest acceptable time from arrival to the end of the answer.
     pub whole_response: Duration,
-    /// Worth of one answered request, for goodput by tier.
+    /// Weight of an answered request in the weighted goodput.
     pub weight: f64,
-    /// Running streams per shard that only this tier and higher ones may use.
+    /// Concurrent streams per shard that are reserved for this tier and higher ones.
     pub reserve: u32,
-    /// Share of a shard's grants, in percent, that this tier gets even under load.
+    /// Minimum share of a shard's slot grants, in percent, that this tier gets under overload.
     pub minimum_percent: u32,
-    /// Where the rule came from.
+    /// Line and requester of the rule.
     pub origin: Origin,
 }
 
-/// What a service's backend servers speak.
+/// Kind of the backend servers of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceKind {
-    /// Language model engines: batching, prefix caches, streams.
+    /// Language model engines, which batch requests, cache prefixes and stream tokens.
     Engine,
-    /// Plain services: one call, one answer.
+    /// Plain HTTP services, which send one response per request.
     Plain,
 }
 
 /// A service that callers reach through jaypin.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceRule {
-    /// Name; for plain services also the path prefix `/v1/services/NAME/`.
+    /// Name; a plain service is called under the path prefix `/v1/services/NAME/`.
     pub name: String,
-    /// What its backend servers speak.
+    /// Kind of its backend servers.
     pub kind: ServiceKind,
-    /// Models that its engines serve; empty for plain services.
+    /// Models that the service serves; empty for plain services.
     pub models: Vec<String>,
-    /// Tier of a request that names none.
+    /// Tier of requests that do not specify one.
     pub tier: String,
-    /// Where the rule came from.
+    /// Line and requester of the rule.
     pub origin: Origin,
 }
 
 /// Whether a call may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// Running it twice does no harm.
+    /// The call may be repeated without changing the result.
     Idempotent,
-    /// It must run at most once; callers give an `Idempotency-Key`.
+    /// The call must run at most once; callers send an `Idempotency-Key`.
     Never,
 }
 
-/// One call of a plain service.
+/// A route of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteRule {
     /// `METHOD /path` below the service, for example `POST /gate`.
     pub route: String,
-    /// The service it belongs to.
+    /// Name of the service.
     pub service: String,
-    /// Tier of the call; the service's tier when absent.
+    /// Tier of the calls; the service's tier when absent.
     pub tier: Option<String>,
-    /// Whether it may run more than once.
+    /// Whether a call may run more than once.
     pub repeat: Repeat,
-    /// Where the rule came from.
+    /// Line and requester of the rule.
     pub origin: Origin,
 }
 
@@ -89,55 +89,57 @@
 pub struct AccountRule {
     /// Name of the account.
     pub name: String,
-    /// Weight in the fair sharing within a tier.
+    /// Weight of the account in the fair sharing of slots within a tier.
     pub share: f64,
-    /// Where the rule came from.
+    /// Line and requester of the rule.
     pub origin: Origin,
 }
 
-/// A caller's credential and the account it belongs to.
+/// The credential of a caller of a client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerRule {
     /// Digest of the credential.
     pub digest: CredentialDigest,
-    /// The account it belongs to.
+    /// Name of the account.
     pub account: String,
-    /// Where the rule came from.
+    /// Line and requester of the rule.
     pub origin: Origin,
 }
 
 /// Limits of a client account over the whole fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitRule {
-    /// The account that is limited.
+    /// Name of the account.
     pub account: String,
-    /// Estimated tokens a second; no limit when absent.
+    /// Most estimated tokens per second; no limit when absent.
     pub tokens_per_second: Option<f64>,
-    /// Requests running at once; no limit when absent.
+    /// Most concurrent requests; no limit when absent.
     pub concurrent: Option<u32>,
-    /// Where the rule came from.
+    /// Line and requester of the rule.
     pub origin: Origin,
 }
 
-/// Whether a backend server checks the fencing number of an order.
+/// Whether the backend servers of a service check the fencing numbers of requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FencingRule {
-    /// The service whose backend servers are meant.
+    /// Name of the service.
     pub service: String,
-    /// Whether they refuse an order with an old number.
+    /// Whether the backend servers refuse a request with an outdated fencing number.
     pub checked: bool,
-    /// Where the rule came from.
+    /// Line and requester of the rule.
     pub origin: Origin,
 }
 
-/// When a request that crashes backend servers is refused.
+/// When requests whose content crashes backend servers are refused. The default applies when
+/// the file has no such rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineRule {
-    /// Backend servers lost under one fingerprint before it is refused.
+    /// Number of backend servers that crashed while running requests with the same fingerprint,
+    /// from which on such requests are refused.
     pub crash_limit: u32,
-    /// How long it stays refused.
+    /// How long requests with the fingerprint are refused.
     pub duration: Duration,
-    /// Where the rule came from.
+    /// Line and requester of the rule.
     pub origin: Origin,
 }
 
--- a/crates/jaypin_rules/src/rule_set.rs
+++ b/crates/jaypin_rules/src/rule_set.rs
@@ -1,4 +1,4 @@
-//! All rules of one file, with look-ups by name.
+//! The rules of a rule file, with look-ups by name and by line.
 
 use std::collections::HashMap;
 
@@ -8,26 +8,26 @@
     ServiceRule, TierRule,
 };
 
-/// The rules in force, as one plain value.
+/// The rules of a rule file.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RuleSet {
-    /// Tiers in order of rank.
+    /// Tiers, by ascending rank.
     pub tiers: Vec<TierRule>,
-    /// Services in order of the file.
+    /// Services, in the order of the file.
     pub services: Vec<ServiceRule>,
-    /// Calls of plain services.
+    /// Routes of plain services.
     pub routes: Vec<RouteRule>,
     /// Client accounts.
     pub accounts: Vec<AccountRule>,
-    /// Callers' credentials.
+    /// Credentials of callers.
     pub callers: Vec<CallerRule>,
     /// Limits of accounts.
     pub limits: Vec<LimitRule>,
-    /// Which services check fencing numbers.
+    /// Whether the backend servers of a service check fencing numbers, by service.
     pub fencing: Vec<FencingRule>,
-    /// When a fingerprint is quarantined.
+    /// When and for how long a request content is quarantined.
     pub quarantine: QuarantineRule,
-    /// Places of the rules by name, as [`crate::parse`] builds it.
+    /// Positions of the rules by name, as built by [`crate::parse`].
     pub index: RuleIndex,
 }
 
@@ -50,43 +50,43 @@
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// Finds the service whose engines serve a model.
+    /// Finds the service that serves a model.
     #[must_use]
     pub fn service_of_model(&self, model: &str) -> Option<&ServiceRule> {
-        let place = self.index.models.get(model);
-        place.map_or_else(
+        let position = self.index.models.get(model);
+        position.map_or_else(
             || {
                 self.services
                     .iter()
                     .find(|rule| rule.models.iter().any(|name| name == model))
             },
-            |place| self.services.get(*place),
+            |position| self.services.get(*position),
         )
     }
 
-    /// Finds the rule of a plain call, given as `METHOD /path`.
+    /// Finds a route of a plain service, given as `METHOD /path`.
     #[must_use]
     pub fn route(&self, service: &str, route: &str) -> Option<&RouteRule> {
         if self.index.route_count != self.routes.len() {
             let mut routes = self.routes.iter();
             return routes.find(|rule| rule.service == service && rule.route == route);
         }
-        let place = self.index.routes.get(service)?.get(route)?;
-        self.routes.get(*place)
+        let position = self.index.routes.get(service)?.get(route)?;
+        self.routes.get(*position)
     }
 
     /// Finds an account by name.
     #[must_use]
     pub fn account(&self, name: &str) -> Option<&AccountRule> {
-        find(&self.accounts, &self.index.accounts, name, |rule| {
+        find_by_name(&self.accounts, &self.index.accounts, name, |rule| {
             &rule.name
         })
     }
 
-    /// Finds the caller that a credential's digest belongs to.
+    /// Finds a caller by the digest of its credential.
     #[must_use]
     pub fn caller(&self, digest: &str) -> Option<&CallerRule> {
-        find(&self.callers, &self.index.callers, digest, |rule| {
+        find_by_name(&self.callers, &self.index.callers, digest, |rule| {
             &rule.digest
         })
     }
@@ -94,12 +94,12 @@
     /// Finds the limits of an account.
     #[must_use]
     pub fn limit(&self, account: &str) -> Option<&LimitRule> {
-        find(&self.limits, &self.index.limits, account, |rule| {
+        find_by_name(&self.limits, &self.index.limits, account, |rule| {
             &rule.account
         })
     }
 
-    /// Finds the rule in a line of the file.
+    /// Finds the rule on a line of the file.
     #[must_use]
     pub fn rule_at(&self, line: u32) -> Option<RuleAt<'_>> {
         let tiers = self.tiers.iter().map(|it| ("tier", &it.name, &it.origin));
@@ -111,18 +111,20 @@
             .map(|it| ("route", &it.route, &it.origin));
         let fencing = self.fencing.iter();
         let fencing = fencing.map(|it| ("fencing of", &it.service, &it.origin));
-        let few = tiers.chain(services).chain(routes).chain(fencing);
-        let few = few.map(|(kind, name, origin)| RuleAt::new(kind, name, origin));
-        few.chain(self.account_rule_at(line))
+        let rules = tiers.chain(services).chain(routes).chain(fencing);
+        let rules = rules.map(|(kind, name, origin)| RuleAt::new(kind, name, origin));
+        rules
+            .chain(self.account_rule_at(line))
             .chain([RuleAt::new("quarantine", "", &self.quarantine.origin)])
             .find(|rule| rule.origin.line == line)
     }
 
-    /// Accounts may be many thousands; their rules stand in order of the file.
+    /// Finds the account, caller or limit rule on a line by binary search, as there may be
+    /// many thousand accounts; these rules are in the order of the file.
     fn account_rule_at(&self, line: u32) -> impl Iterator<Item = RuleAt<'_>> {
-        let account = at(&self.accounts, line, |rule| &rule.origin);
-        let caller = at(&self.callers, line, |rule| &rule.origin);
-        let limit = at(&self.limits, line, |rule| &rule.origin);
+        let account = find_by_line(&self.accounts, line, |rule| &rule.origin);
+        let caller = find_by_line(&self.callers, line, |rule| &rule.origin);
+        let limit = find_by_line(&self.limits, line, |rule| &rule.origin);
         let account = account.map(|it| RuleAt::new("account", &it.name, &it.origin));
         let caller = caller.map(|it| RuleAt::new("caller of", &it.account, &it.origin));
         let limit = limit.map(|it| RuleAt::new("limit of", &it.account, &it.origin));
@@ -130,12 +132,12 @@
     }
 }
 
-/// A rule with its place, for explanations.
+/// The name and origin of a rule, for explanations of decisions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RuleAt<'a> {
     /// Kind and name, for example ``tier `cow-status` ``.
     pub name: String,
-    /// Where it stands and who asked for it.
+    /// Line and requester of the rule.
     pub origin: &'a Origin,
 }
 
@@ -150,13 +152,14 @@
     }
 }
 
-fn at<T>(rules: &[T], line: u32, origin: impl Fn(&T) -> &Origin) -> Option<&T> {
-    let place = rules.binary_search_by_key(&line, |rule| origin(rule).line);
-    rules.get(place.ok()?)
+fn find_by_line<T>(rules: &[T], line: u32, origin: impl Fn(&T) -> &Origin) -> Option<&T> {
+    let position = rules.binary_search_by_key(&line, |rule| origin(rule).line);
+    rules.get(position.ok()?)
 }
 
-/// Finds a rule by the index, or by walking when rules were added after it was built.
-fn find<'a, T>(
+/// Finds a rule by name with the index, or by linear search when rules were added after the
+/// index was built.
+fn find_by_name<'a, T>(
     rules: &'a [T],
     index: &HashMap<String, usize>,
     name: &str,
--- a/crates/jaypin_rules/tests/parse.rs
+++ b/crates/jaypin_rules/tests/parse.rs
@@ -1,24 +1,25 @@
-//! What the rule file may say, and how its mistakes are named.
+//! Parsing of rule files: valid lines, and the mistakes reported for invalid ones.
 
 use jaypin_rules::{RuleSet, difference, parse, redact_line};
 
 const LANYANG: &str = include_str!("../../../examples/lanyang-rules.yaml");
 const HANBIT: &str = include_str!("../../../examples/hanbit-rules.yaml");
 
-/// A file that is right, for single lines to be added to.
+/// A valid rule file, to which tests append single lines.
 const BASE: &str = "\
 - {tier: urgent, rank: 0, first-token-ms: 1000, gap-ms: 66, whole-ms: 5000}  # asked by: vets
 - {service: robots, kind: plain, tier: urgent}  # asked by: robot team
 ";
 
 #[test]
-fn a_dozen_mistakes_are_named_at_once() {
+fn all_mistakes_are_reported_at_once() {
     let mistakes = parse(include_str!("wrong-rules.yaml")).expect_err("mistakes");
     let lines: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Names a case, a line, and what is to be found in it.
+/// Defines a test per case that parses a line. It expects the requester of a valid line, or the
+/// first mistake of an invalid one.
 macro_rules! lines {
     ($($name:ident: $line:expr => $expected:expr;)*) => {
         $(
@@ -36,33 +37,33 @@
 }
 
 lines! {
-    a_requester_may_hold_a_hash:
+    a_requester_may_contain_a_hash:
         "- {route: GET /a, service: robots, repeat: never}  # asked by: vets # 7"
         => "vets # 7";
-    a_quoted_hash_is_no_comment:
+    a_quoted_hash_does_not_start_a_comment:
         "- {route: 'GET /a#asked by: x', service: robots, repeat: never}"
         => "line 3, column 11: `route`: found `GET /a#asked by: x`, expected a method and a path, for example `POST /gate`";
     a_quoted_brace_does_not_end_the_rule:
         "- {route: 'GET /{a}', service: robots, repeat: never}  # asked by: robot team"
         => "robot team";
-    a_comment_without_a_name_is_wrong:
+    a_comment_without_a_requester_is_reported:
         "- {route: GET /a, service: robots, repeat: never}  # because"
         => "line 3, column 52: found the comment `# because`, expected `# asked by: WHO`";
-    two_rules_on_one_line_are_wrong:
+    two_rules_on_one_line_are_reported:
         "- {route: GET /a, service: robots, repeat: never}, {}  # asked by: vets"
         => "line 3, column 50: not YAML: while parsing a block collection, did not find expected '-' indicator; expected `- {KIND: ..., ...}  # asked by: WHO`";
-    a_tag_is_wrong:
+    a_tag_is_reported:
         "- {route: !!str GET /a, service: robots, repeat: never}  # asked by: vets"
         => "line 3, column 17: tags are not allowed";
-    wide_letters_are_counted_once:
+    multibyte_letters_count_as_one_column:
         "- {route: GET /a, service: 牛, repeat: never}  # asked by: 獣医"
         => "line 3, column 28: `service`: found `牛`, expected a name of letters, digits, `-`, `_` and `.`";
 }
 
 #[test]
-fn the_examples_are_right_and_each_rule_has_a_requester() {
+fn the_examples_are_valid_and_each_rule_has_a_requester() {
     for text in [LANYANG, HANBIT] {
-        let rules = parse(text).expect("a right file");
+        let rules = parse(text).expect("a valid rule file");
         for (number, line) in (1..).zip(text.lines()) {
             let rule = rules.rule_at(number).expect("a rule");
             let (_, requester) = line.rsplit_once("# asked by: ").expect("a comment");
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn rules_are_found_by_name_among_many() {
+fn rules_of_many_accounts_are_found_by_name() {
     let mut text = BASE.to_owned();
     for number in 0..17_000 {
         let digest = jaypin_rules::digest_credential(&number.to_string());
@@ -81,7 +82,7 @@
             text.push_str(&["- {", &rule, "}  # asked by: sales\n"].concat());
         }
     }
-    let rules = parse(&text).expect("a right file");
+    let rules = parse(&text).expect("a valid rule file");
     for number in 0..17_000 {
         let digest = jaypin_rules::digest_credential(&number.to_string());
         let caller = rules.caller(&digest).expect("a caller");
@@ -92,9 +93,9 @@
 }
 
 #[test]
-fn rules_added_by_hand_are_found_as_well() {
+fn rules_are_found_without_an_index() {
     let rules = RuleSet {
-        accounts: parse(LANYANG).expect("a right file").accounts,
+        accounts: parse(LANYANG).expect("a valid rule file").accounts,
         ..RuleSet::default()
     };
     assert!(rules.account("farm-luodong").is_some());
@@ -110,7 +111,7 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Names a case, a line, and what may be kept of it.
+/// Defines a test per case that compares a redacted line with the expected one.
 macro_rules! redacted {
     ($($name:ident: $line:expr => $expected:expr;)*) => {
         $(
@@ -123,17 +124,17 @@
 }
 
 redacted! {
-    a_credential_is_hidden: "- {caller: s3cret, account: a}  # asked by: a"
+    a_credential_is_redacted: "- {caller: s3cret, account: a}  # asked by: a"
         => "- {caller: [not a digest, not shown] # asked by: a";
-    a_credential_with_a_comma_is_hidden: r#"- {caller: "s3,cret}", account: a}"#
+    a_credential_with_a_comma_is_redacted: r#"- {caller: "s3,cret}", account: a}"#
         => "- {caller: [not a digest, not shown]";
-    a_credential_in_a_line_that_is_no_yaml_is_hidden: "- {account: a, caller: s3cret"
+    a_credential_in_a_line_that_is_not_yaml_is_redacted: "- {account: a, caller: s3cret"
         => "- {account: a, caller: [not a digest, not shown]";
-    other_lines_are_kept: "- {account: a}  # asked by: a" => "- {account: a}  # asked by: a";
+    other_lines_are_unchanged: "- {account: a}  # asked by: a" => "- {account: a}  # asked by: a";
 }
 
 #[test]
-fn digests_are_kept() {
+fn digests_are_not_redacted() {
     for line in LANYANG.lines() {
         assert_eq!(redact_line(line), line);
     }
