--- a/crates/jaypin_rules/src/lib.rs
+++ b/crates/jaypin_rules/src/lib.rs
@@ -30,4 +30,4 @@
     AccountRule, CallerRule, FencingRule, LimitRule, Origin, QuarantineRule, Repeat, RouteRule,
     ServiceKind, ServiceRule, TierRule,
 };
-pub use rule_set::{RuleAt, RuleSet};
+pub use rule_set::{LocatedRule, RuleSet};
--- a/crates/jaypin_rules/src/rule_set.rs
+++ b/crates/jaypin_rules/src/rule_set.rs
@@ -101,7 +101,7 @@
 
     /// Finds the rule on a line of the file.
     #[must_use]
-    pub fn rule_at(&self, line: u32) -> Option<RuleAt<'_>> {
+    pub fn rule_at(&self, line: u32) -> Option<LocatedRule<'_>> {
         let tiers = self.tiers.iter().map(|it| ("tier", &it.name, &it.origin));
         let services = self.services.iter();
         let services = services.map(|it| ("service", &it.name, &it.origin));
@@ -112,36 +112,36 @@
         let fencing = self.fencing.iter();
         let fencing = fencing.map(|it| ("fencing of", &it.service, &it.origin));
         let rules = tiers.chain(services).chain(routes).chain(fencing);
-        let rules = rules.map(|(kind, name, origin)| RuleAt::new(kind, name, origin));
+        let rules = rules.map(|(kind, name, origin)| LocatedRule::new(kind, name, origin));
         rules
             .chain(self.account_rule_at(line))
-            .chain([RuleAt::new("quarantine", "", &self.quarantine.origin)])
+            .chain([LocatedRule::new("quarantine", "", &self.quarantine.origin)])
             .find(|rule| rule.origin.line == line)
     }
 
     /// Finds the account, caller or limit rule on a line by binary search, as there may be
     /// many thousand accounts; these rules are in the order of the file.
-    fn account_rule_at(&self, line: u32) -> impl Iterator<Item = RuleAt<'_>> {
+    fn account_rule_at(&self, line: u32) -> impl Iterator<Item = LocatedRule<'_>> {
         let account = find_by_line(&self.accounts, line, |rule| &rule.origin);
         let caller = find_by_line(&self.callers, line, |rule| &rule.origin);
         let limit = find_by_line(&self.limits, line, |rule| &rule.origin);
-        let account = account.map(|it| RuleAt::new("account", &it.name, &it.origin));
-        let caller = caller.map(|it| RuleAt::new("caller of", &it.account, &it.origin));
-        let limit = limit.map(|it| RuleAt::new("limit of", &it.account, &it.origin));
+        let account = account.map(|it| LocatedRule::new("account", &it.name, &it.origin));
+        let caller = caller.map(|it| LocatedRule::new("caller of", &it.account, &it.origin));
+        let limit = limit.map(|it| LocatedRule::new("limit of", &it.account, &it.origin));
         account.into_iter().chain(caller).chain(limit)
     }
 }
 
-/// The name and origin of a rule, for explanations of decisions.
+/// Name and origin of a rule, for explanations of decisions.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RuleAt<'a> {
+pub struct LocatedRule<'a> {
     /// Kind and name, for example ``tier `cow-status` ``.
     pub name: String,
     /// Line and requester of the rule.
     pub origin: &'a Origin,
 }
 
-impl<'a> RuleAt<'a> {
+impl<'a> LocatedRule<'a> {
     fn new(kind: &str, name: &str, origin: &'a Origin) -> Self {
         let name = if name.is_empty() {
             kind.to_owned()
