--- a/crates/jaypin_rules/src/fields.rs
+++ b/crates/jaypin_rules/src/fields.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct Fields<'a> {
     line: &'a RuleLine,
-    read_fields: Vec<&'static str>,
+    read_names: Vec<&'static str>,
     context: &'a mut CheckContext,
     mistakes: &'a mut Vec<Mistake>,
 }
@@ -39,7 +39,7 @@
     ) -> Self {
         Self {
             line,
-            read_fields: Vec::new(),
+            read_names: Vec::new(),
             context,
             mistakes,
         }
@@ -164,13 +164,13 @@
     pub fn finish(self) {
         for key in self.line.mapping.keys() {
             let name = key.as_str();
-            if self.read_fields.contains(&name) {
+            if self.read_names.contains(&name) {
                 continue;
             }
-            let hint = name_hint(name, self.read_fields.iter().copied());
+            let hint = name_hint(name, self.read_names.iter().copied());
             let message = format!(
                 "unknown field `{name}`, expected one of `{}`{hint}",
-                self.read_fields.join("`, `")
+                self.read_names.join("`, `")
             );
             let column = column_of(key.span().start());
             self.mistakes
@@ -179,7 +179,7 @@
     }
 
     fn node(&mut self, field: &'static str) -> Option<&'a Node> {
-        self.read_fields.push(field);
+        self.read_names.push(field);
         let node = self.line.mapping.get_node(field)?;
         let column = column_of(node.span().start());
         let key = (self.line.origin.line, field);
@@ -198,7 +198,7 @@
 
     fn required(&mut self, field: &'static str, expected: &str) -> Option<MarkedScalarNode> {
         if self.line.mapping.get_node(field).is_none() {
-            self.read_fields.push(field);
+            self.read_names.push(field);
             let column = column_of(self.line.mapping.span().start());
             let message = format!("field `{field}` is missing, expected {expected}");
             self.mistakes
