--- a/crates/jaypin_rules/src/kinds.rs
+++ b/crates/jaypin_rules/src/kinds.rs
@@ -4,7 +4,7 @@
 
 use marked_yaml::types::MarkedScalarNode;
 
-use crate::fields::{CheckContext,Fields};
+use crate::fields::{CheckContext, Fields};
 use crate::line::{RuleLine, column_of};
 use crate::nearest::name_hint;
 use crate::rule::{
@@ -75,7 +75,9 @@
     fields.finish();
     let name = line.mapping.get_scalar(kind).map(MarkedScalarNode::as_str);
     if let Some(name) = name.filter(|_| mistakes.len() > mistakes_before) {
-        context.invalid_rules.insert((kind.to_owned(), name.to_owned()));
+        context
+            .invalid_rules
+            .insert((kind.to_owned(), name.to_owned()));
     }
 }
 
@@ -84,11 +86,11 @@
     let rank = fields.number("rank", "a rank from 0 to 255");
     let first_token = duration(fields, "first-token-ms");
     let gap = duration(fields, "gap-ms");
-    let whole = duration(fields, "whole-ms");
+    let whole_response = duration(fields, "whole-ms");
     let weight = positive_number(fields, "weight");
     let reserve = fields.number_or("reserve", 0, COUNT);
     let minimum_percent = fields.number_or("minimum-percent", 0, "a percentage from 0 to 100");
-    if let (Some(first), Some(whole)) = (first_token, whole)
+    if let (Some(first), Some(whole)) = (first_token, whole_response)
         && whole < first
     {
         let found = format!("{} ms", whole.as_millis());
@@ -105,7 +107,7 @@
         rank: rank?,
         first_token: first_token?,
         gap: gap?,
-        whole_response: whole?,
+        whole_response: whole_response?,
         weight: weight?,
         reserve: reserve?,
         minimum_percent: minimum_percent?,
@@ -223,15 +225,18 @@
 }
 
 fn quarantine(fields: &mut Fields<'_>, line: &RuleLine) -> Option<QuarantineRule> {
-    let strikes = fields.number("quarantine", "a number of crashed backend servers above 0");
-    let hold = duration(fields, "hold-ms");
-    if strikes == Some(0) {
-        fields.reject("quarantine", 0,
-            "a number of crashed backend servers above 0",);
+    let crash_limit = fields.number("quarantine", "a number of crashed backend servers above 0");
+    let duration = duration(fields, "hold-ms");
+    if crash_limit == Some(0) {
+        fields.reject(
+            "quarantine",
+            0,
+            "a number of crashed backend servers above 0",
+        );
     }
     Some(QuarantineRule {
-        crash_limit: strikes?,
-        duration: hold?,
+        crash_limit: crash_limit?,
+        duration: duration?,
         origin: line.origin.clone(),
     })
 }
--- a/crates/jaypin_rules/src/line.rs
+++ b/crates/jaypin_rules/src/line.rs
@@ -36,7 +36,7 @@
         }
     };
     let end = column_of(mapping.span().end());
-    let asked_by = match parse_requester(text, end) {
+    let requester = match parse_requester(text, end) {
         Ok(name) => name,
         Err((column, message)) => {
             mistakes.push(Mistake::new(number, column, message));
@@ -45,14 +45,12 @@
     };
     let origin = Origin {
         line: number,
-        requester:
-        asked_by,
+        requester,
     };
     Some(RuleLine { origin, mapping })
 }
 
 /// Column and message of a mistake in a line.
-
 type LineMistake = (u32, String);
 
 fn parse_mapping(text: &str) -> Result<MarkedMappingNode, LineMistake> {
@@ -66,7 +64,9 @@
     };
     if list.len() != 1 {
         let message = format!(
-            "found {} rules on one line, expected {LINE_FORM}", list.len());
+            "found {} rules on one line, expected {LINE_FORM}",
+            list.len()
+        );
         return Err((1, message));
     }
     let Some(mapping) = list.get_mapping(0) else {
@@ -91,9 +91,10 @@
             (column(at), message)
         }
         LoadError::UnexpectedAnchor(at) => (column(at), "anchors are not allowed".to_owned()),
-        LoadError::MappingKeyMustBeScalar(at) =>
-            (column(at),
-            "the name of a field must be plain text".to_owned(),),
+        LoadError::MappingKeyMustBeScalar(at) => (
+            column(at),
+            "the name of a field must be plain text".to_owned(),
+        ),
         LoadError::UnexpectedTag(at) => (column(at), "tags are not allowed".to_owned()),
         LoadError::ScanError(at, error) => {
             let message = format!("not YAML: {}; expected {LINE_FORM}", error.info());
@@ -122,7 +123,10 @@
     };
     let name = name.trim();
     if name.is_empty() {
-        return Err((at, format!("found no requester after `# {ASKED_BY}`, expected a name"),));
+        return Err((
+            at,
+            format!("found no requester after `# {ASKED_BY}`, expected a name"),
+        ));
     }
     Ok(name.to_owned())
 }
--- a/crates/jaypin_wire/src/audit.rs
+++ b/crates/jaypin_wire/src/audit.rs
@@ -127,18 +127,15 @@
     let mut read = Vec::new();
     let mut faults = Vec::new();
     let mut previous = EntryDigest::new();
-    for (place, text) in (1..).zip(entries) {
+    for (position, text) in (1..).zip(entries) {
         match serde_json::from_str::<AuditEntry>(text) {
             Ok(entry) => {
                 let mut fault = |message: String| {
-                    faults.push(AuditFault {
-                        position: place,
-                        message,
-                    });
+                    faults.push(AuditFault { position, message });
                 };
-                if entry.number != place {
+                if entry.number != position {
                     fault(format!(
-                        "found the number {}, expected {place}",
+                        "found the number {}, expected {position}",
                         entry.number
                     ));
                 }
@@ -148,7 +145,7 @@
                 read.push(entry);
             }
             Err(error) => faults.push(AuditFault {
-                position: place,
+                position,
                 message: format!("the entry can't be parsed: {error}"),
             }),
         }
--- a/crates/jaypin_wire/src/link.rs
+++ b/crates/jaypin_wire/src/link.rs
@@ -152,8 +152,8 @@
             }
             Message::CrashCount {
                 fingerprint,
-                crash_count: strikes,
-            } => Self::Strike(fingerprint, strikes),
+                crash_count,
+            } => Self::Strike(fingerprint, crash_count),
             Message::Claim { key, id, subject } => Self::Claim(key, id, subject.into()),
             Message::Claimed { key, id, verdict } => Self::Claimed(key, id, verdict.into()),
             Message::Settle { key, id, outcome } => Self::Settle(key, id, outcome.into()),
@@ -166,13 +166,10 @@
             Message::RuleText { version, text } => Self::RuleText(version, text),
             Message::Hosts(list) => Self::Hosts(list.version, WireHostList::from(&list)),
             Message::Buckets(hashes) => Self::Buckets(hashes),
-            Message::Members {
-                entries,
-                complete_buckets,
-            } => Self::Members(
-                entries.into_iter().map(WireMember::from).collect(),
-                complete_buckets,
-            ),
+            Message::Members { entries,
+                complete_buckets, } =>
+                Self::Members(entries.into_iter().map(WireMember::from).collect(),
+                complete_buckets,),
         }
     }
 }
@@ -227,16 +224,16 @@
                 shard: shard.into(),
                 running: running.into_iter().map(InFlight::from).collect(),
             },
-            WireMessage::Died(backend, fingerprint, had_token) => Self::BackendCrashed {
+            WireMessage::Died(backend, fingerprint, had_first_token) => Self::BackendCrashed {
                 backend,
                 lost: LostCall {
                     fingerprint,
-                    had_first_token: had_token,
+                    had_first_token,
                 },
             },
-            WireMessage::Strike(fingerprint, strikes) => Self::CrashCount {
+            WireMessage::Strike(fingerprint, crash_count) => Self::CrashCount {
                 fingerprint,
-                crash_count: strikes,
+                crash_count,
             },
             WireMessage::Claim(key, id, subject) => Self::Claim {
                 key,
@@ -264,9 +261,9 @@
             WireMessage::RuleText(version, text) => Self::RuleText { version, text },
             WireMessage::Hosts(version, list) => Self::Hosts(list.at_version(version)),
             WireMessage::Buckets(hashes) => Self::Buckets(hashes),
-            WireMessage::Members(entries, whole) => Self::Members {
+            WireMessage::Members(entries, complete_buckets) => Self::Members {
                 entries: entries.into_iter().map(<(HostId, Member)>::from).collect(),
-                complete_buckets: whole,
+                complete_buckets,
             },
         }
     }
--- a/crates/jaypin_wire/src/slots.rs
+++ b/crates/jaypin_wire/src/slots.rs
@@ -40,9 +40,9 @@
     #[serde(rename = "m")]
     max_tokens: u32,
     #[serde(rename = "f")]
-    first_token_in: WireDuration,
+    first_token_due_in: WireDuration,
     #[serde(rename = "w")]
-    whole_in: WireDuration,
+    response_due_in: WireDuration,
     #[serde(rename = "x")]
     prefixes: Vec<u64>,
 }
@@ -156,8 +156,8 @@
             account: ask.account,
             prompt_tokens: ask.prompt_tokens,
             max_tokens: ask.max_tokens,
-            first_token_in: ask.first_token_due_in.into(),
-            whole_in: ask.response_due_in.into(),
+            first_token_due_in: ask.first_token_due_in.into(),
+            response_due_in: ask.response_due_in.into(),
             prefixes: ask.prefixes,
         }
     }
@@ -173,8 +173,8 @@
             account: wire.account,
             prompt_tokens: wire.prompt_tokens,
             max_tokens: wire.max_tokens,
-            first_token_due_in: wire.first_token_in.into(),
-            response_due_in: wire.whole_in.into(),
+            first_token_due_in: wire.first_token_due_in.into(),
+            response_due_in: wire.response_due_in.into(),
             prefixes: wire.prefixes,
         }
     }
--- a/crates/jaypin_wire/tests/encoding.rs
+++ b/crates/jaypin_wire/tests/encoding.rs
@@ -35,8 +35,8 @@
         account: "farm-yilan".into(),
         prompt_tokens: 300,
         max_tokens: 40,
-        first_token_in: ms(1_500),
-        whole_in: ms(30_000),
+        first_token_due_in: ms(1_500),
+        response_due_in: ms(30_000),
         prefixes: vec![7, 8],
     }
 }
@@ -251,16 +251,16 @@
         )
     };
     vec![
-        Message::Died {
+        Message::BackendCrashed {
             backend: "engine-1".into(),
             lost: Lost {
                 fingerprint: 77,
-                had_token: true,
+                had_first_token: true,
             },
         },
-        Message::Strike {
+        Message::CrashCount {
             fingerprint: 77,
-            strikes: 2,
+            crash_count: 2,
         },
         Message::Digest(Digest {
             rules_version: 1,
@@ -279,7 +279,7 @@
         Message::Buckets(vec![1, 2]),
         Message::Members {
             entries: statuses.into_iter().map(entry).collect(),
-            whole: vec![3],
+            complete_buckets: vec![3],
         },
     ]
 }
--- a/crates/jaypin_wire/tests/explain.rs
+++ b/crates/jaypin_wire/tests/explain.rs
@@ -14,7 +14,7 @@
     }
 }
 
-fn asked() -> Step {
+fn slot_requested() -> Step {
     Step::Asked {
         shard: Shard {
             service: "chat".into(),
@@ -78,7 +78,7 @@
     };
     body(&[
         (0, arrived()),
-        (1, asked()),
+        (1, slot_requested()),
         (3, dispatched()),
         (130, Step::FirstToken),
         (900, end),
@@ -91,7 +91,7 @@
         .rule_line(2);
     body(&[
         (0, arrived()),
-        (1, asked()),
+        (1, slot_requested()),
         (1_500, Step::Refused(refusal)),
     ])
 }
