--- a/crates/jaypin_bench/tests/explain.rs
+++ b/crates/jaypin_bench/tests/explain.rs
@@ -145,7 +145,7 @@
         assert_eq!(answer.status, StatusCode::OK);
         let id = answer.headers.get("x-request-id").expect("an id");
         let text = explain(&fleet, id.to_str().expect("text"), &[]).await;
-        let said = format!("the host that owns its key answered `{verdict}`");
+        let said = format!("the host that owns its idempotency key answered `{verdict}`");
         assert!(text.contains(&said), "{text}");
     }
     assert_eq!(fleet.apps[0].calls().len(), 1);
