--- a/crates/jaypin_rules/src/check.rs
+++ b/crates/jaypin_rules/src/check.rs
@@ -12,7 +12,7 @@
 /// Largest sum of the minimum shares of all tiers, in percent.
 const MAX_TOTAL_PERCENT: u32 = 100;
 
-/// Checks the rules against each other and appends what is wrong to `mistakes`.
+/// Checks the rules against each other and appends the mistakes found to `mistakes`.
 pub fn check(rules: &RuleSet, context: &CheckContext, mistakes: &mut Vec<Mistake>) {
     let mut checker = Checker { context, mistakes };
     checker.check_duplicates(rules);
--- a/crates/jaypin_rules/src/rule.rs
+++ b/crates/jaypin_rules/src/rule.rs
@@ -16,7 +16,7 @@
 /// A priority class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TierRule {
-    /// Name that callers give in `x-jaypin-tier`.
+    /// Name that callers send in `x-jaypin-tier`.
     pub name: String,
     /// Priority: 0 is served first and shed last.
     pub rank: u8,
@@ -134,8 +134,8 @@
 /// the file has no such rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineRule {
-    /// Number of backend servers that crashed while running requests with the same fingerprint,
-    /// from which on such requests are refused.
+    /// Number of backend servers that must crash while running requests with the same fingerprint
+    /// before such requests are refused.
     pub crash_limit: u32,
     /// How long requests with the fingerprint are refused.
     pub duration: Duration,
--- a/crates/jaypin_wire/src/audit.rs
+++ b/crates/jaypin_wire/src/audit.rs
@@ -99,7 +99,7 @@
 pub struct AuditFault {
     /// Position of the entry in the trail, from 1.
     pub position: u64,
-    /// What is wrong with the entry.
+    /// Description of the fault.
     pub message: String,
 }
 
