--- a/crates/jaypin_wire/src/explain/mod.rs
+++ b/crates/jaypin_wire/src/explain/mod.rs
@@ -127,7 +127,11 @@
         for rule in &mut self.rules {
             rule.asked_by = None;
         }
-        self.steps = self.steps.into_iter().filter_map(redact_for_caller).collect();
+        self.steps = self
+            .steps
+            .into_iter()
+            .filter_map(redact_for_caller)
+            .collect();
         self
     }
 }
--- a/crates/jaypin_wire/src/link.rs
+++ b/crates/jaypin_wire/src/link.rs
@@ -166,10 +166,13 @@
             Message::RuleText { version, text } => Self::RuleText(version, text),
             Message::Hosts(list) => Self::Hosts(list.version, WireHostList::from(&list)),
             Message::Buckets(hashes) => Self::Buckets(hashes),
-            Message::Members { entries,
-                complete_buckets, } =>
-                Self::Members(entries.into_iter().map(WireMember::from).collect(),
-                complete_buckets,),
+            Message::Members {
+                entries,
+                complete_buckets,
+            } => Self::Members(
+                entries.into_iter().map(WireMember::from).collect(),
+                complete_buckets,
+            ),
         }
     }
 }
--- a/crates/jaypin_wire/tests/encoding.rs
+++ b/crates/jaypin_wire/tests/encoding.rs
@@ -5,8 +5,8 @@
 
 use jaypin_core::{
     Allowance, Ask, BackendRecord, Candidate, ClaimSubject, ClaimVerdict, Digest, Grant,
-    GrantNumber, HostList, HostRecord, InFlight, KeyOutcome, Lost, Member, MemberStatus, Message,
-    Presence, Ran, Reason, Refusal, Shard, SlotProgress, StoredAnswer,
+    GrantNumber, HostList, HostRecord, InFlight, KeyOutcome, LostCall, Member, MemberStatus,
+    Message, Presence, Ran, Reason, Refusal, Shard, SlotProgress, StoredAnswer,
 };
 use jaypin_wire::{Frame, Hello, decode, encode};
 
@@ -253,7 +253,7 @@
     vec![
         Message::BackendCrashed {
             backend: "engine-1".into(),
-            lost: Lost {
+            lost: LostCall {
                 fingerprint: 77,
                 had_first_token: true,
             },
