--- a/crates/jaypin_wire/src/explain/sentences.rs
+++ b/crates/jaypin_wire/src/explain/sentences.rs
@@ -131,9 +131,7 @@
         "granted" => "the call may run once",
         "in-flight" => "another request with the same key is running",
         "done" => "the call with this key was already answered",
-        "unknown" => {
-            "the outcome of an earlier call with this key is unknown, so this call is not run"
-        }
+        "unknown" => "whether a call with this key already ran is unknown, so this call is not run",
         "mismatch" => "the key was already used for a different call",
         "full" => "the key table is full",
         _ => "no description of this answer",
@@ -197,7 +195,7 @@
         "over-limit" => "its client account had reached a limit",
         "quarantined" => "backend servers crashed while running the same content",
         "in-flight" => "another call with its key was running",
-        "key-unknown" => "the outcome of an earlier call with its key is unknown",
+        "key-unknown" => "whether a call with its key already ran is unknown",
         "key-mismatch" => "its key was already used for a different call",
         "key-table-full" => "the key table of the host that owns its key was full",
         "already-ran" => "the call with its key was already answered, and the answer is not stored",
