--- a/crates/jaypin_bench/tests/explain.rs
+++ b/crates/jaypin_bench/tests/explain.rs
@@ -51,12 +51,12 @@
     assert!(answer.done);
     let text = explain(&fleet, &id, &[]).await;
     for part in [
-        "of account `farm-yilan` asked service `chat` in tier `cow-status`",
+        "of account `farm-yilan` for service `chat` in tier `cow-status`",
         "tier `cow-status`, asked by barn team, ticket 115",
         "it was granted slot",
         "first token estimated in",
-        "the first token came",
-        "the whole answer was passed on",
+        "the first token arrived",
+        "the complete answer was forwarded to the caller",
     ] {
         assert!(text.contains(part), "{part} in {text}");
     }
@@ -145,7 +145,7 @@
         assert_eq!(answer.status, StatusCode::OK);
         let id = answer.headers.get("x-request-id").expect("an id");
         let text = explain(&fleet, id.to_str().expect("text"), &[]).await;
-        let said = format!("the host that owns its key answered `{verdict}`");
+        let said = format!("the host that owns its idempotency key answered `{verdict}`");
         assert!(text.contains(&said), "{text}");
     }
     assert_eq!(fleet.apps[0].calls().len(), 1);
--- a/crates/jaypin_wire/src/lib.rs
+++ b/crates/jaypin_wire/src/lib.rs
@@ -1,7 +1,8 @@
-//! What jaypin's processes, its platform and its callers send each other.
+//! Serialized types: messages between hosts, JSON bodies for callers and operators, and
+//! objects stored on the platform.
 //!
-//! Wire types stand apart from the types of the decisions, with `From` and `TryFrom`
-//! between them, so that either side can change without the other.
+//! Wire types are separate from the decision types of `jaypin_core`, with `From`
+//! conversions between them, so that either side can change without the other.
 
 mod api;
 mod audit;
@@ -23,11 +24,11 @@
     AuditEntry, AuditFault, AuditHead, AuditKind, AuditSegment, EntryDigest, digest_entry,
     verify_trail,
 };
-pub use claims::{WireOutcome, WireStoredAnswer, WireSubject, WireVerdict};
+pub use claims::{WireClaimSubject, WireClaimVerdict, WireKeyOutcome, WireStoredAnswer};
 pub use codec::{CodecError, decode, encode};
 pub use explain::{AppliedRule, CandidateBody, ExplainBody, ExplainStep, StepBody};
 pub use host_list::{WireBackend, WireHost, WireHostList};
 pub use link::{Frame, Hello, LINK_VERSION, WireMessage};
-pub use member::{MemberBody, WireMember, WireStatus};
+pub use member::{MemberBody, WireMember, WireMemberStatus};
 pub use rules_object::{ChangeStatus, RulesChange, RulesObject, RulesPart};
 pub use shard_state::{ShardBackend, ShardState, TierWaiting};
--- a/crates/jaypin_wire/src/slots.rs
+++ b/crates/jaypin_wire/src/slots.rs
@@ -1,6 +1,7 @@
-//! What request owners and shard schedulers say of slots, as it travels.
+//! Wire form of the slot messages between request owners and shard schedulers.
 //!
-//! These are sent several times for each request, so their fields are named by one letter.
+//! Several of them are sent for each request, so field names are shortened to one letter
+//! to save bytes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,19 +9,20 @@
 use jaypin_core::{Ask, Candidate, Grant, GrantNumber, InFlight, Shard, SlotProgress};
 use serde::{Deserialize, Serialize};
 
-/// A time in microseconds: a third of the bytes of seconds and nanoseconds by name.
+/// A duration in microseconds, which takes a third of the bytes of a `Duration` encoded
+/// with the names of its seconds and nanoseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WireTime(u64);
+pub struct WireDuration(u64);
 
-/// See [`Shard`].
+/// Wire form of [`Shard`]: service, index.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireShard(Arc<str>, u16);
 
-/// See [`GrantNumber`].
+/// Wire form of [`GrantNumber`]: incarnation, sequence.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct WireNumber(u64, u64);
+pub struct WireGrantNumber(u64, u64);
 
-/// See [`Ask`].
+/// Wire form of [`Ask`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireAsk {
     #[serde(rename = "s")]
@@ -38,14 +40,14 @@
     #[serde(rename = "m")]
     max_tokens: u32,
     #[serde(rename = "f")]
-    first_token_in: WireTime,
+    first_token_due_in: WireDuration,
     #[serde(rename = "w")]
-    whole_in: WireTime,
+    response_due_in: WireDuration,
     #[serde(rename = "x")]
     prefixes: Vec<u64>,
 }
 
-/// See [`Grant`].
+/// Wire form of [`Grant`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireGrant {
     #[serde(rename = "s")]
@@ -55,39 +57,41 @@
     #[serde(rename = "n")]
     attempt: u32,
     #[serde(rename = "g")]
-    number: WireNumber,
+    number: WireGrantNumber,
     #[serde(rename = "b")]
     backend: Arc<str>,
     #[serde(rename = "c")]
     candidates: Vec<WireCandidate>,
     #[serde(rename = "w")]
-    expected_wait: WireTime,
+    expected_wait: WireDuration,
 }
 
-/// See [`Candidate`].
+/// Wire form of [`Candidate`]: backend server, time to the first token, running requests,
+/// limit of running requests.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct WireCandidate(Arc<str>, WireTime, u32, u32);
+pub struct WireCandidate(Arc<str>, WireDuration, u32, u32);
 
-/// See [`SlotProgress`].
+/// Wire form of [`SlotProgress`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub enum WireProgress {
+pub enum WireSlotProgress {
     /// See [`SlotProgress::Returned`].
     Returned,
     /// See [`SlotProgress::NotReached`].
     NotReached,
-    /// See [`SlotProgress::FirstToken`].
-    FirstToken(WireTime),
-    /// See [`SlotProgress::Finished`].
-    Finished(u32, WireTime, bool),
+    /// See [`SlotProgress::FirstToken`]: time since dispatch.
+    FirstToken(WireDuration),
+    /// See [`SlotProgress::Finished`]: tokens, time since dispatch, whether the connection to
+    /// the backend server was lost.
+    Finished(u32, WireDuration, bool),
 }
 
-/// See [`InFlight`].
+/// Wire form of [`InFlight`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireInFlight {
     #[serde(rename = "i")]
     id: Arc<str>,
     #[serde(rename = "g")]
-    number: WireNumber,
+    number: WireGrantNumber,
     #[serde(rename = "b")]
     backend: Arc<str>,
     #[serde(rename = "a")]
@@ -100,14 +104,14 @@
     max_tokens: u32,
 }
 
-impl From<Duration> for WireTime {
+impl From<Duration> for WireDuration {
     fn from(time: Duration) -> Self {
         Self(u64::try_from(time.as_micros()).unwrap_or(u64::MAX))
     }
 }
 
-impl From<WireTime> for Duration {
-    fn from(wire: WireTime) -> Self {
+impl From<WireDuration> for Duration {
+    fn from(wire: WireDuration) -> Self {
         Self::from_micros(wire.0)
     }
 }
@@ -127,14 +131,14 @@
     }
 }
 
-impl From<GrantNumber> for WireNumber {
+impl From<GrantNumber> for WireGrantNumber {
     fn from(number: GrantNumber) -> Self {
         Self(number.incarnation, number.sequence)
     }
 }
 
-impl From<WireNumber> for GrantNumber {
-    fn from(wire: WireNumber) -> Self {
+impl From<WireGrantNumber> for GrantNumber {
+    fn from(wire: WireGrantNumber) -> Self {
         Self {
             incarnation: wire.0,
             sequence: wire.1,
@@ -152,8 +156,8 @@
             account: ask.account,
             prompt_tokens: ask.prompt_tokens,
             max_tokens: ask.max_tokens,
-            first_token_in: ask.first_token_due_in.into(),
-            whole_in: ask.response_due_in.into(),
+            first_token_due_in: ask.first_token_due_in.into(),
+            response_due_in: ask.response_due_in.into(),
             prefixes: ask.prefixes,
         }
     }
@@ -169,8 +173,8 @@
             account: wire.account,
             prompt_tokens: wire.prompt_tokens,
             max_tokens: wire.max_tokens,
-            first_token_due_in: wire.first_token_in.into(),
-            response_due_in: wire.whole_in.into(),
+            first_token_due_in: wire.first_token_due_in.into(),
+            response_due_in: wire.response_due_in.into(),
             prefixes: wire.prefixes,
         }
     }
@@ -230,7 +234,7 @@
     }
 }
 
-impl From<SlotProgress> for WireProgress {
+impl From<SlotProgress> for WireSlotProgress {
     fn from(progress: SlotProgress) -> Self {
         match progress {
             SlotProgress::Returned => Self::Returned,
@@ -245,15 +249,15 @@
     }
 }
 
-impl From<WireProgress> for SlotProgress {
-    fn from(wire: WireProgress) -> Self {
+impl From<WireSlotProgress> for SlotProgress {
+    fn from(wire: WireSlotProgress) -> Self {
         match wire {
-            WireProgress::Returned => Self::Returned,
-            WireProgress::NotReached => Self::NotReached,
-            WireProgress::FirstToken(after) => Self::FirstToken {
+            WireSlotProgress::Returned => Self::Returned,
+            WireSlotProgress::NotReached => Self::NotReached,
+            WireSlotProgress::FirstToken(after) => Self::FirstToken {
                 after: after.into(),
             },
-            WireProgress::Finished(tokens, after, lost) => Self::Finished {
+            WireSlotProgress::Finished(tokens, after, lost) => Self::Finished {
                 tokens,
                 after: after.into(),
                 lost,
