--- a/crates/jaypin_core/tests/claim_order.rs
+++ b/crates/jaypin_core/tests/claim_order.rs
@@ -1,4 +1,5 @@
-//! Claims over links that lose, repeat and reorder, between hosts that die and pause.
+//! Claims on keys over links that drop, duplicate and reorder messages, between hosts that
+//! restart and pause.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,32 +19,33 @@
 - {account: farm, share: 1}  # asked by: d
 ";
 
-/// Something that happens to the hosts.
+/// An event of the simulated fleet. Indices into lists wrap around.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A caller sends the one key to a host.
+    /// A caller sends a request with the test's only key to a host.
     Call(usize),
-    /// A message that is on its way arrives; a message can be any age.
+    /// Any message in transit, however old, is delivered.
     Deliver(usize),
-    /// It arrives and is still on its way.
-    Repeat(usize),
-    /// It is lost.
-    Lose(usize),
-    /// A call that runs ends.
+    /// A message is delivered and stays in transit, so that it is delivered again.
+    Duplicate(usize),
+    /// A message is dropped.
+    Drop(usize),
+    /// A running call ends.
     End(usize, CallOutcome),
-    /// A caller leaves.
-    Leave(usize),
+    /// A caller disconnects.
+    Disconnect(usize),
     /// A host's process is replaced by a new one.
     Restart(usize),
-    /// A host takes another for lost.
-    Accuse(usize, usize),
-    /// Time goes on at one host; the others are paused.
-    Wait(usize, u64),
+    /// The first host is notified that the second one exited, whether or not that is so.
+    ReportExit(usize, usize),
+    /// The clock advances by a number of milliseconds, and only one host ticks; the others
+    /// are paused.
+    Advance(usize, u64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let host = 0..HOSTS;
-    let any = 0..64_usize;
+    let any_index = 0..64_usize;
     let outcome = prop_oneof![
         Just(CallOutcome::Complete),
         Just(CallOutcome::ConnectionLost),
@@ -52,41 +54,47 @@
     ];
     let step = prop_oneof![
         3 => host.clone().prop_map(Step::Call),
-        12 => any.clone().prop_map(Step::Deliver),
-        3 => any.clone().prop_map(Step::Repeat),
-        2 => any.clone().prop_map(Step::Lose),
-        2 => (any.clone(), outcome).prop_map(|(at, outcome)| Step::End(at, outcome)),
-        1 => any.prop_map(Step::Leave),
+        12 => any_index.clone().prop_map(Step::Deliver),
+        3 => any_index.clone().prop_map(Step::Duplicate),
+        2 => any_index.clone().prop_map(Step::Drop),
+        2 => (any_index.clone(), outcome).prop_map(|(index, outcome)| Step::End(index, outcome)),
+        1 => any_index.prop_map(Step::Disconnect),
         1 => host.clone().prop_map(Step::Restart),
-        1 => (host.clone(), host.clone()).prop_map(|(at, of)| Step::Accuse(at, of)),
-        3 => (host, 1..3_000_u64).prop_map(|(at, ms)| Step::Wait(at, ms)),
+        1 => (host.clone(), host.clone()).prop_map(|(at, exited)| Step::ReportExit(at, exited)),
+        3 => (host, 1..3_000_u64).prop_map(|(at, ms)| Step::Advance(at, ms)),
     ];
     prop::collection::vec(step, 1..120)
 }
 
-struct Net {
+/// A simulated fleet with one clock.
+struct TestNetwork {
     now: Instant,
     hosts: Vec<Reducer>,
+    /// Incarnation of the host that started last.
     incarnation: u64,
-    on_their_way: Vec<(usize, usize, Message)>,
-    called: Vec<(usize, RequestId)>,
+    /// Sender, receiver and message.
+    in_transit: Vec<(usize, usize, Message)>,
+    /// Host and id of each request that arrived.
+    arrived: Vec<(usize, RequestId)>,
+    /// Host and id of each call that runs.
     running: Vec<(usize, RequestId)>,
+    /// Number of dispatched calls.
     dispatched: usize,
 }
 
-fn name(index: usize) -> HostId {
+fn host_id(index: usize) -> HostId {
     format!("host-{index}").into()
 }
 
-fn start(index: usize, incarnation: u64, now: Instant) -> Reducer {
+fn start_host(index: usize, incarnation: u64, now: Instant) -> Reducer {
     let mut reducer = Reducer::new(Config {
-        host: name(index),
+        host: host_id(index),
         incarnation,
         policy: Policy::Baseline,
         ..Config::default()
     });
     let host = |index| HostRecord {
-        id: name(index),
+        id: host_id(index),
         address: "10.0.0.1:1".to_owned(),
         link: "10.0.0.1:2".to_owned(),
         failure_domain: "domain-0".into(),
@@ -110,15 +118,17 @@
     reducer
 }
 
-impl Net {
+impl TestNetwork {
     fn new() -> Self {
         let now = Instant::now();
         Self {
             now,
-            hosts: (0..HOSTS).map(|index| start(index, 100, now)).collect(),
+            hosts: (0..HOSTS)
+                .map(|index| start_host(index, 100, now))
+                .collect(),
             incarnation: 100,
-            on_their_way: Vec::new(),
-            called: Vec::new(),
+            in_transit: Vec::new(),
+            arrived: Vec::new(),
             running: Vec::new(),
             dispatched: 0,
         }
@@ -128,8 +138,8 @@
         for effect in self.hosts[at].apply(self.now, event) {
             match effect {
                 Effect::Send { to, message } => {
-                    let to = (0..HOSTS).find(|index| name(*index) == to);
-                    self.on_their_way.push((at, to.expect("a host"), message));
+                    let to = (0..HOSTS).find(|index| host_id(*index) == to);
+                    self.in_transit.push((at, to.expect("a host"), message));
                 }
                 Effect::Dispatch { id, .. } => {
                     self.dispatched += 1;
@@ -140,17 +150,18 @@
         }
     }
 
-    fn deliver(&mut self, at: usize, keep: bool) {
-        let (from, to, message) = self.on_their_way[at].clone();
+    /// Delivers the message at `index`, and removes it unless `keep` is set.
+    fn deliver(&mut self, index: usize, keep: bool) {
+        let (from, to, message) = self.in_transit[index].clone();
         if !keep {
-            self.on_their_way.remove(at);
+            self.in_transit.remove(index);
         }
-        let from = name(from);
+        let from = host_id(from);
         self.apply(to, Event::Link { from, message });
     }
 
     fn call(&mut self, at: usize) {
-        let count = self.called.len();
+        let count = self.arrived.len();
         let id = RequestId::from(format!("host-{at}-{}-{count}", self.incarnation));
         let key = format!("{}gate", IdempotencyKey::prefix("host-0", 100, 0));
         let info = RequestInfo {
@@ -169,12 +180,12 @@
             response_due_in: Duration::from_secs(5),
             rule_lines: Vec::new(),
         };
-        self.called.push((at, id));
+        self.arrived.push((at, id));
         self.apply(at, Event::Arrived(info));
     }
 
-    fn end(&mut self, at: usize, outcome: CallOutcome) {
-        let (at, id) = self.running.remove(at);
+    fn end(&mut self, index: usize, outcome: CallOutcome) {
+        let (at, id) = self.running.remove(index);
         if outcome == CallOutcome::Complete {
             let answer = Some(StoredAnswer {
                 status: 200,
@@ -193,33 +204,33 @@
         self.apply(at, Event::Call { id, progress });
     }
 
-    fn take(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
             Step::Call(at) => self.call(at),
-            Step::Deliver(n) | Step::Repeat(n) | Step::Lose(n) if self.on_their_way.is_empty() => {
+            Step::Deliver(n) | Step::Duplicate(n) | Step::Drop(n) if self.in_transit.is_empty() => {
                 let _ = n;
             }
-            Step::Deliver(n) => self.deliver(n % self.on_their_way.len(), false),
-            Step::Repeat(n) => self.deliver(n % self.on_their_way.len(), true),
-            Step::Lose(n) => {
-                self.on_their_way.remove(n % self.on_their_way.len());
+            Step::Deliver(n) => self.deliver(n % self.in_transit.len(), false),
+            Step::Duplicate(n) => self.deliver(n % self.in_transit.len(), true),
+            Step::Drop(n) => {
+                self.in_transit.remove(n % self.in_transit.len());
             }
             Step::End(n, outcome) if !self.running.is_empty() => {
                 self.end(n % self.running.len(), outcome);
             }
-            Step::Leave(n) if !self.called.is_empty() => {
-                let (at, id) = self.called[n % self.called.len()].clone();
+            Step::Disconnect(n) if !self.arrived.is_empty() => {
+                let (at, id) = self.arrived[n % self.arrived.len()].clone();
                 self.apply(at, Event::CallerDisconnected(id));
             }
-            Step::End(..) | Step::Leave(_) => {}
+            Step::End(..) | Step::Disconnect(_) => {}
             Step::Restart(at) => {
                 self.incarnation += 1;
-                self.hosts[at] = start(at, self.incarnation, self.now);
+                self.hosts[at] = start_host(at, self.incarnation, self.now);
                 self.running.retain(|(host, _)| *host != at);
-                self.called.retain(|(host, _)| *host != at);
+                self.arrived.retain(|(host, _)| *host != at);
             }
-            Step::Accuse(at, of) => self.apply(at, Event::PeerExited(name(of))),
-            Step::Wait(at, ms) => {
+            Step::ReportExit(at, exited) => self.apply(at, Event::PeerExited(host_id(exited))),
+            Step::Advance(at, ms) => {
                 self.now += Duration::from_millis(ms);
                 self.apply(at, Event::Tick);
             }
@@ -235,26 +246,27 @@
         ..ProptestConfig::default()
     })]
 
-    /// A farmer's program sends one gate command to any host at any time, while links
-    /// lose, repeat and reorder messages and hosts die, pause and accuse each other.
-    /// Whatever the order, the gate service gets the command at most once.
+    /// A caller sends one non-repeatable command with the same key to any host at any time,
+    /// while links drop, duplicate and reorder messages and hosts restart, pause and report
+    /// each other as exited. In any order, the command is dispatched at most once.
     #[test]
     fn one_key_is_dispatched_at_most_once(steps in steps()) {
-        let mut net = Net::new();
+        let mut net = TestNetwork::new();
         for step in steps {
-            net.take(step);
+            net.run_step(step);
             prop_assert!(net.dispatched <= 1, "dispatched {} times", net.dispatched);
         }
     }
 }
 
-/// Without faults the key runs, or the invariant above would hold for the wrong reason.
+/// Without faults the command is dispatched. Otherwise the invariant above would hold because
+/// nothing is ever dispatched.
 #[test]
 fn one_key_runs_when_nothing_fails() {
     for at in 0..HOSTS {
-        let mut net = Net::new();
+        let mut net = TestNetwork::new();
         net.call(at);
-        while !net.on_their_way.is_empty() {
+        while !net.in_transit.is_empty() {
             net.deliver(0, false);
         }
         assert_eq!(net.dispatched, 1);
--- a/crates/jaypin_core/tests/common/mod.rs
+++ b/crates/jaypin_core/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A shard scheduler with a clock and short ways to talk to it.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Test harness around one shard scheduler, with a clock that only the test advances.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,7 +10,8 @@
 };
 use jaypin_rules::parse;
 
-/// Tiers of three kinds, and two accounts of which one has three times the share.
+/// Three tiers, of which `command` has a reserved slot and `summary` a minimum share, and
+/// three accounts: `large` has three times the share of the others, `capped` has limits.
 pub const RULES: &str = "\
 - {tier: command, rank: 0, first-token-ms: 1000, gap-ms: 66, whole-ms: 5000, weight: 8, reserve: 1}  # asked by: a
 - {tier: question, rank: 1, first-token-ms: 1500, gap-ms: 66, whole-ms: 30000, weight: 2}  # asked by: b
@@ -22,11 +23,13 @@
 - {limit: capped, concurrent: 2, tokens-per-second: 1000}  # asked by: g
 ";
 
-/// A scheduler under test.
+/// A shard scheduler under test, with its clock and its messages.
 #[derive(Debug)]
-pub struct Bed {
+pub struct TestScheduler {
     pub scheduler: Scheduler,
+    /// Time of the test; `advance` moves it.
     pub now: Instant,
+    /// Messages of the scheduler that no test has taken yet.
     pub out: Vec<OutgoingMessage>,
 }
 
@@ -48,8 +51,9 @@
     }
 }
 
+/// Returns an ask of the account `large` with the deadlines of its tier.
 pub fn ask(id: &str, tier: u8) -> Ask {
-    let (first_token, whole) = [(1, 5), (2, 30), (60, 600)][usize::from(tier.min(2))];
+    let (first_token_secs, response_secs) = [(1, 5), (2, 30), (60, 600)][usize::from(tier.min(2))];
     Ask {
         shard: shard(),
         id: id.into(),
@@ -58,19 +62,19 @@
         account: "large".into(),
         prompt_tokens: 100,
         max_tokens: 20,
-        first_token_due_in: Duration::from_secs(first_token),
-        response_due_in: Duration::from_secs(whole),
+        first_token_due_in: Duration::from_secs(first_token_secs),
+        response_due_in: Duration::from_secs(response_secs),
         prefixes: Vec::new(),
     }
 }
 
-impl Bed {
-    /// A scheduler that is past its rebuild window.
+impl TestScheduler {
+    /// Creates a scheduler whose rebuild window has ended, so that it may grant slots.
     pub fn new(backends: usize, slots: u32) -> Self {
-        Self::with(backends, slots, &Config::default())
+        Self::with_config(backends, slots, &Config::default())
     }
 
-    pub fn with(backends: usize, slots: u32, cfg: &Config) -> Self {
+    pub fn with_config(backends: usize, slots: u32, cfg: &Config) -> Self {
         let rules = parse(RULES).expect("rules");
         let rules = Arc::new(RuleIndex::new(Arc::new(rules)));
         let now = Instant::now();
@@ -84,65 +88,70 @@
         }
     }
 
-    pub fn pass(&mut self, millis: u64) {
+    /// Advances the clock and ticks the scheduler.
+    pub fn advance(&mut self, millis: u64) {
         self.now += Duration::from_millis(millis);
         self.scheduler.tick(self.now, &mut self.out);
     }
 
-    pub fn ask(&mut self, ask: Ask) {
+    /// Submits an ask of the owner `host-a`.
+    pub fn submit(&mut self, ask: Ask) {
         let owner: HostId = "host-a".into();
         self.scheduler.submit(&owner, ask, self.now, &mut self.out);
     }
 
-    pub fn progress(&mut self, grant: &Grant, progress: SlotProgress) {
+    pub fn report_progress(&mut self, grant: &Grant, progress: SlotProgress) {
         let (now, out) = (self.now, &mut self.out);
         self.scheduler
             .apply_progress(&grant.id, grant.number, progress, now, out);
     }
 
-    pub fn first_token(&mut self, grant: &Grant) {
+    pub fn report_first_token(&mut self, grant: &Grant) {
         let after = Duration::ZERO;
-        self.progress(grant, SlotProgress::FirstToken { after });
+        self.report_progress(grant, SlotProgress::FirstToken { after });
     }
 
-    pub fn finish(&mut self, grant: &Grant, tokens: u32, millis: u64) {
+    /// Reports that the response ended, `millis` after it was dispatched.
+    pub fn report_finished(&mut self, grant: &Grant, tokens: u32, millis: u64) {
         let end = SlotProgress::Finished {
             tokens,
             after: Duration::from_millis(millis),
             lost: false,
         };
-        self.progress(grant, end);
+        self.report_progress(grant, end);
     }
 
-    pub fn lose(&mut self, grant: &Grant) {
+    /// Reports that the call ended because its connection or backend server was lost.
+    pub fn report_lost(&mut self, grant: &Grant) {
         let end = SlotProgress::Finished {
             tokens: 0,
             after: Duration::ZERO,
             lost: true,
         };
-        self.progress(grant, end);
+        self.report_progress(grant, end);
     }
 
-    /// Runs one request alone: prefill, then tokens at a gap.
+    /// Runs one request to its end: `prefill_ms` until the first token, then `gap_ms` between
+    /// tokens.
     pub fn run_one(&mut self, ask: Ask, prefill_ms: u64, gap_ms: u64) -> Grant {
         let tokens = ask.max_tokens;
-        self.ask(ask);
+        self.submit(ask);
         let grant = self.grants().pop().expect("a grant");
-        self.pass(prefill_ms);
-        self.first_token(&grant);
+        self.advance(prefill_ms);
+        self.report_first_token(&grant);
         let streaming = gap_ms * u64::from(tokens - 1);
-        self.pass(streaming);
-        self.finish(&grant, tokens, prefill_ms + streaming);
+        self.advance(streaming);
+        self.report_finished(&grant, tokens, prefill_ms + streaming);
         grant
     }
 
-    /// Takes the grants that were handed out since the last call.
+    /// Removes and returns the grants in `out`; other messages stay.
     pub fn grants(&mut self) -> Vec<Grant> {
-        let letters = std::mem::take(&mut self.out);
-        let (grants, rest): (Vec<_>, Vec<_>) = letters
+        let messages = std::mem::take(&mut self.out);
+        let (grants, others): (Vec<_>, Vec<_>) = messages
             .into_iter()
             .partition(|(_, message)| matches!(message, Message::Grant(_)));
-        self.out = rest;
+        self.out = others;
         let messages = grants.into_iter().map(|(_, message)| message);
         messages
             .filter_map(|message| match message {
@@ -152,10 +161,10 @@
             .collect()
     }
 
-    /// Takes the refusals that were handed out since the last call.
+    /// Removes all messages from `out` and returns the refusals among them.
     pub fn refusals(&mut self) -> Vec<(String, Refusal)> {
-        let letters = std::mem::take(&mut self.out);
-        letters
+        let messages = std::mem::take(&mut self.out);
+        messages
             .into_iter()
             .filter_map(|(_, message)| match message {
                 Message::Refused { id, refusal, .. } => Some((id.to_string(), refusal)),
@@ -164,10 +173,11 @@
             .collect()
     }
 
-    /// Takes the questions after grants that were asked since the last call.
+    /// Removes all messages from `out` and returns the numbers of the grants whose use the
+    /// scheduler asks owners to confirm.
     pub fn confirms(&mut self) -> Vec<GrantNumber> {
-        let letters = std::mem::take(&mut self.out);
-        letters
+        let messages = std::mem::take(&mut self.out);
+        messages
             .into_iter()
             .filter_map(|(_, message)| match message {
                 Message::Confirm { number, .. } => Some(number),
--- a/crates/jaypin_core/tests/fleet_limits.rs
+++ b/crates/jaypin_core/tests/fleet_limits.rs
@@ -1,4 +1,5 @@
-//! Limits that many shards enforce together, without a word per request.
+//! Limits of a client account that several shards enforce together, without a message per
+//! request.
 
 mod common;
 
@@ -7,13 +8,13 @@
 
 use jaypin_core::{Allowance, Config, Effect, Event, HostId, Message, Reducer, Shard};
 
-/// A host that keeps the limits of the account `capped`.
-struct Keeper {
+/// A host that splits the limits of the account `capped` among shards.
+struct KeeperHost {
     reducer: Reducer,
     now: Instant,
 }
 
-impl Keeper {
+impl KeeperHost {
     fn new() -> Self {
         let now = Instant::now();
         let mut reducer = Reducer::new(Config::default());
@@ -22,8 +23,9 @@
         Self { reducer, now }
     }
 
-    /// Tells what a shard saw in the last second; gives its allowance.
-    fn tell(&mut self, index: u16, tokens: f64, at_once: u32) -> Option<Allowance> {
+    /// Reports the account's demand in a shard since the last report, and returns the shard's
+    /// allowance.
+    fn report_usage(&mut self, index: u16, tokens: f64, at_once: u32) -> Option<Allowance> {
         let usage = Message::Usage {
             shard: Shard {
                 service: "chat".into(),
@@ -48,23 +50,24 @@
         })
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
     }
 }
 
-/// An account spreads its work over three shards, one of which sees most of it. Split
-/// evenly, the busy shard would refuse below the account's limit; unsplit, the account
-/// would get three times what the rule allows.
+/// An account uses three shards, one of which gets most of its requests. With an even split
+/// of the limit, the busy shard would refuse requests although the account is below its
+/// limit; with the whole limit in each shard, the account would get three times what the
+/// rule allows.
 #[test]
-fn allowances_follow_the_work_and_add_up_to_the_limit() {
-    let mut keeper = Keeper::new();
+fn allowances_follow_demand_and_add_up_to_the_limit() {
+    let mut keeper = KeeperHost::new();
     let mut last = [None; 3];
     for _ in 0..20 {
         for (index, tokens) in [(0, 4_000.0), (1, 400.0), (2, 400.0)] {
-            last[usize::from(index)] = keeper.tell(index, tokens, 2);
+            last[usize::from(index)] = keeper.report_usage(index, tokens, 2);
         }
-        keeper.pass(Duration::from_secs(1));
+        keeper.advance(Duration::from_secs(1));
     }
     let rates = last.map(|allowance| allowance.expect("an allowance").tokens_per_second);
     let sum: f64 = rates.iter().sum();
@@ -74,12 +77,12 @@
 
 #[test]
 fn an_account_below_its_limit_has_room_everywhere() {
-    let mut keeper = Keeper::new();
+    let mut keeper = KeeperHost::new();
     let mut allowance = None;
     for _ in 0..10 {
-        allowance = keeper.tell(0, 100.0, 0);
-        keeper.tell(1, 100.0, 1);
-        keeper.pass(Duration::from_secs(1));
+        allowance = keeper.report_usage(0, 100.0, 0);
+        keeper.report_usage(1, 100.0, 1);
+        keeper.advance(Duration::from_secs(1));
     }
     let allowance = allowance.expect("an allowance");
     assert!(allowance.tokens_per_second > 400.0, "{allowance:?}");
@@ -87,11 +90,11 @@
 }
 
 #[test]
-fn a_shard_that_fell_silent_gives_its_part_back() {
-    let mut keeper = Keeper::new();
-    keeper.tell(0, 3_000.0, 2);
-    keeper.tell(1, 3_000.0, 2);
-    keeper.pass(Duration::from_secs(11));
-    let allowance = keeper.tell(1, 100.0, 1).expect("an allowance");
+fn an_expired_shards_allowance_goes_to_the_others() {
+    let mut keeper = KeeperHost::new();
+    keeper.report_usage(0, 3_000.0, 2);
+    keeper.report_usage(1, 3_000.0, 2);
+    keeper.advance(Duration::from_secs(11));
+    let allowance = keeper.report_usage(1, 100.0, 1).expect("an allowance");
     assert!(allowance.tokens_per_second > 999.0, "{allowance:?}");
 }
--- a/crates/jaypin_core/tests/honest_refusals.rs
+++ b/crates/jaypin_core/tests/honest_refusals.rs
@@ -1,4 +1,5 @@
-//! "Not run" is said of a key only once its owner knows that it did not run.
+//! A refusal reports a keyed call as "not run" only if the key's owner knows that the call
+//! didn't run.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,31 +17,32 @@
 ";
 const INCARNATION: u64 = 7;
 
-/// One host that owns its keys, with a backend server; no peer is needed.
-struct Bed {
+/// A fleet of one host, which owns the keys that it issues, and one backend server.
+struct TestHost {
     now: Instant,
     reducer: Reducer,
     count: usize,
 }
 
-impl Bed {
+impl TestHost {
     fn new() -> Self {
         let cfg = Config {
             host: "host-0".into(),
             incarnation: INCARNATION,
             ..Config::default()
         };
-        let mut bed = Self {
+        let mut host = Self {
             now: Instant::now(),
             reducer: Reducer::new(cfg),
             count: 0,
         };
         let rules = Arc::new(jaypin_rules::parse(RULES).expect("rules"));
-        bed.event(Event::Rules { version: 1, rules });
-        bed
+        host.event(Event::Rules { version: 1, rules });
+        host
     }
 
-    /// The host list, and time enough to know that there are no peers.
+    /// Applies the host list, then advances the clock by 4 s, after which the host knows that it
+    /// has no peers.
     fn ready(mut self) -> Self {
         let host = HostRecord {
             id: "host-0".into(),
@@ -63,7 +65,7 @@
             backends: vec![backend],
         }));
         for _ in 0..200 {
-            self.pass(20);
+            self.advance(20);
         }
         self
     }
@@ -72,11 +74,12 @@
         self.reducer.apply(self.now, event)
     }
 
-    fn pass(&mut self, millis: u64) -> Vec<Effect> {
+    fn advance(&mut self, millis: u64) -> Vec<Effect> {
         self.now += Duration::from_millis(millis);
         self.event(Event::Tick)
     }
 
+    /// Sends a request with a key that this host issued.
     fn arrive(&mut self, repeat: Repeat) -> Vec<Effect> {
         self.arrive_with(repeat, &IdempotencyKey::prefix("host-0", INCARNATION, 0))
     }
@@ -118,44 +121,45 @@
         .any(|effect| matches!(effect, Effect::Dispatch { .. }))
 }
 
-/// A farmer opens a gate; the call runs. The program repeats it at a host that is
-/// leaving. That host takes no new work, but "not run" would be a lie: the gate opens.
+/// A call that opens a gate runs, and the caller repeats its key while the host is leaving.
+/// The host accepts no new work, but reporting "not run" would be wrong: the first call opens
+/// the gate.
 #[test]
-fn a_second_try_at_a_leaving_host_is_not_called_not_run() {
-    let mut bed = Bed::new().ready();
-    assert!(is_dispatched(&bed.arrive(Repeat::Never)));
-    bed.event(Event::Drain);
-    let fx = bed.arrive(Repeat::Never);
+fn a_repeated_key_at_a_leaving_host_is_not_reported_as_not_run() {
+    let mut host = TestHost::new().ready();
+    assert!(is_dispatched(&host.arrive(Repeat::Never)));
+    host.event(Event::Drain);
+    let fx = host.arrive(Repeat::Never);
     assert!(!is_dispatched(&fx));
     assert_eq!(refusal(&fx), Some((Reason::InFlight, Ran::Unknown)));
 }
 
 #[test]
-fn a_first_try_at_a_leaving_host_was_not_run_and_its_key_stays_free() {
-    let mut bed = Bed::new().ready();
-    bed.event(Event::Drain);
+fn a_new_key_at_a_leaving_host_is_not_run_and_stays_unclaimed() {
+    let mut host = TestHost::new().ready();
+    host.event(Event::Drain);
     for _ in 0..2 {
-        let fx = bed.arrive(Repeat::Never);
+        let fx = host.arrive(Repeat::Never);
         assert!(!is_dispatched(&fx));
         assert_eq!(refusal(&fx), Some((Reason::Draining, Ran::NotRun)));
     }
 }
 
-/// A host has just started and knows no peer. The call that reaches it may be the second
-/// try of one that ran; whom to ask is not known yet.
+/// A host that has just started doesn't know its peers. A call that reaches it may repeat one
+/// that ran, and the host can't ask the key's owner yet.
 #[test]
-fn a_host_that_is_not_ready_says_unknown_of_a_key() {
-    let mut bed = Bed::new();
-    let fx = bed.arrive(Repeat::Never);
+fn a_host_that_is_not_ready_reports_unknown_for_a_key() {
+    let mut host = TestHost::new();
+    let fx = host.arrive(Repeat::Never);
     assert_eq!(refusal(&fx), Some((Reason::NotReady, Ran::Unknown)));
-    let fx = bed.arrive(Repeat::Idempotent);
+    let fx = host.arrive(Repeat::Idempotent);
     assert_eq!(refusal(&fx), Some((Reason::NotReady, Ran::NotRun)));
 }
 
 #[test]
-fn no_message_is_needed_from_others_for_an_own_key() {
-    let mut bed = Bed::new().ready();
-    let fx = bed.arrive(Repeat::Never);
+fn a_key_of_the_host_itself_is_claimed_without_a_message() {
+    let mut host = TestHost::new().ready();
+    let fx = host.arrive(Repeat::Never);
     let claims = fx.iter().filter(|effect| {
         matches!(
             effect,
@@ -169,41 +173,44 @@
     assert!(is_dispatched(&fx));
 }
 
-/// A gate call runs and its service goes down under it, again and again, until the call
-/// is quarantined. The program repeats the key. The call was run, so "not run" would be a
-/// lie, and the quarantine must not answer before the key's owner did.
+/// A call that opens a gate runs, and backend servers crash under it until its content is
+/// quarantined. Then the caller repeats the key. The call ran, so reporting "not run" would be
+/// wrong: the key's owner must decide before the quarantine does.
 #[test]
-fn a_quarantined_second_try_is_not_called_not_run() {
-    let mut bed = Bed::new().ready();
-    assert!(is_dispatched(&bed.arrive(Repeat::Never)));
-    let strike = Message::CrashCount {
+fn a_repeated_key_of_quarantined_content_is_not_reported_as_not_run() {
+    let mut host = TestHost::new().ready();
+    assert!(is_dispatched(&host.arrive(Repeat::Never)));
+    let crash_count = Message::CrashCount {
         fingerprint: 5,
         crash_count: 2,
     };
-    bed.event(Event::Link {
+    host.event(Event::Link {
         from: "host-1".into(),
-        message: strike,
+        message: crash_count,
     });
-    let fx = bed.arrive(Repeat::Never);
+    let fx = host.arrive(Repeat::Never);
     assert_eq!(refusal(&fx), Some((Reason::InFlight, Ran::Unknown)));
-    let fx = bed.arrive(Repeat::Idempotent);
+    let fx = host.arrive(Repeat::Idempotent);
     assert_eq!(refusal(&fx), Some((Reason::Quarantined, Ran::NotRun)));
 }
 
-/// An operator drains a host. The owner of a key that it ran is frozen and confirms
-/// nothing, and callers go on sending keys of it. The host must leave all the same; it
-/// stayed for as long as calls came.
+/// A host drains while callers keep sending keys whose owner is frozen and confirms nothing.
+/// The host must still exit within 12 s. If it went on claiming such keys, it would keep
+/// running for as long as calls arrive.
 #[test]
-fn a_frozen_key_owner_does_not_keep_a_leaving_host() {
-    let mut bed = Bed::new().ready();
-    bed.event(Event::Drain);
-    let mut left = false;
+fn a_frozen_key_owner_does_not_block_a_drain() {
+    let mut host = TestHost::new().ready();
+    host.event(Event::Drain);
+    let mut exited = false;
     for step in 0..600 {
         if step % 10 == 0 {
-            bed.arrive_with(Repeat::Never, &IdempotencyKey::prefix("host-9", 3, 0));
+            host.arrive_with(Repeat::Never, &IdempotencyKey::prefix("host-9", 3, 0));
         }
-        let fx = bed.pass(20);
-        left |= fx.iter().any(|effect| matches!(effect, Effect::Exit));
+        let fx = host.advance(20);
+        exited |= fx.iter().any(|effect| matches!(effect, Effect::Exit));
     }
-    assert!(left, "12 s after the drain began");
+    assert!(
+        exited,
+        "the host is still running 12 s after the drain began"
+    );
 }
--- a/crates/jaypin_core/tests/hostile_messages.rs
+++ b/crates/jaypin_core/tests/hostile_messages.rs
@@ -1,4 +1,4 @@
-//! No message of a peer, however wrong its values, stops a host.
+//! No message of a peer, whatever its values, makes a host panic.
 
 mod common;
 
@@ -20,7 +20,7 @@
     ]
 }
 
-fn numbers() -> impl Strategy<Value = f64> {
+fn floats() -> impl Strategy<Value = f64> {
     prop_oneof![
         Just(f64::NAN),
         Just(f64::INFINITY),
@@ -52,20 +52,20 @@
         durations(),
     )
         .prop_map(
-            |(id, tier, prompt_tokens, max_tokens, first_token_in, whole_in)| Ask {
+            |(id, tier, prompt_tokens, max_tokens, first_token_due_in, response_due_in)| Ask {
                 id,
                 tier,
                 prompt_tokens,
                 max_tokens,
-                first_token_due_in: first_token_in,
-                response_due_in: whole_in,
+                first_token_due_in,
+                response_due_in,
                 prefixes: vec![u64::from(prompt_tokens % 3)],
                 ..ask("", 0)
             },
         )
 }
 
-fn progresses() -> impl Strategy<Value = SlotProgress> {
+fn slot_progress() -> impl Strategy<Value = SlotProgress> {
     prop_oneof![
         Just(SlotProgress::Returned),
         Just(SlotProgress::NotReached),
@@ -96,7 +96,7 @@
     let account = "capped";
     prop_oneof![
         4 => asks().prop_map(Message::Ask),
-        4 => (ids(), grant_numbers(), progresses()).prop_map(|(id, number, progress)| {
+        4 => (ids(), grant_numbers(), slot_progress()).prop_map(|(id, number, progress)| {
             Message::Progress { shard: shard(), id, number, progress }
         }),
         1 => (ids(), any::<u32>(), durations()).prop_map(|(id, attempt, expected_wait)| {
@@ -106,10 +106,10 @@
         1 => ids().prop_map(|id| Message::Withdraw { shard: shard(), id }),
         1 => (ids(), grant_numbers())
             .prop_map(|(id, number)| Message::Confirm { shard: shard(), id, number }),
-        2 => (numbers(), any::<u32>()).prop_map(move |(tokens, at_once)| {
+        2 => (floats(), any::<u32>()).prop_map(move |(tokens, at_once)| {
             Message::Usage { shard: shard(), account: account.into(), tokens, at_once }
         }),
-        2 => (numbers(), numbers()).prop_map(move |(tokens_per_second, at_once)| {
+        2 => (floats(), floats()).prop_map(move |(tokens_per_second, at_once)| {
             let allowance = Allowance { tokens_per_second, at_once };
             Message::Allow { shard: shard(), account: account.into(), allowance }
         }),
@@ -117,9 +117,9 @@
             .prop_map(|running| Message::InFlight { shard: shard(), running }),
         1 => proptest::collection::vec(any::<u64>(), 0..70).prop_map(Message::Buckets),
         1 => (any::<u64>(), proptest::collection::vec(any::<u8>(), 0..70)).prop_map(
-            |(incarnation, whole)| Message::Members {
+            |(incarnation, complete_buckets)| Message::Members {
                 entries: vec![("host-9".into(), Member::alive(incarnation))],
-                complete_buckets: whole,
+                complete_buckets,
             }
         ),
     ]
@@ -157,16 +157,16 @@
         ..ProptestConfig::default()
     })]
 
-    /// A peer of another build, or one whose memory is damaged, says things that make no
-    /// sense: durations without end, numbers that are none, grants never given. The host
-    /// that is told must go on serving; a panic would end it with all its streams.
+    /// A peer of another build, or one with corrupted memory, sends invalid values: unbounded
+    /// durations, NaN, numbers of grants that were never made. The host that receives them must
+    /// go on serving, since a panic would end the process with all its streams.
     #[test]
     fn no_message_stops_a_host(
-        script in proptest::collection::vec((messages(), 0..2_000_u64), 1..40),
+        steps in proptest::collection::vec((messages(), 0..2_000_u64), 1..40),
     ) {
         let mut now = Instant::now();
         let mut reducer = reducer(now);
-        for (message, wait) in script {
+        for (message, wait) in steps {
             now += Duration::from_millis(wait);
             reducer.apply(now, Event::Link { from: "host-1".into(), message });
             reducer.apply(now, Event::Tick);
--- a/crates/jaypin_core/tests/key_table.rs
+++ b/crates/jaypin_core/tests/key_table.rs
@@ -1,4 +1,5 @@
-//! The table of idempotency keys: what is granted, kept, forgotten.
+//! The table of idempotency keys: which claims are granted, and how long keys and responses are
+//! stored.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -52,7 +53,7 @@
     }
 }
 
-/// Names a test for each way a held claim can end, and what a repeated claim gets.
+/// Generates a test per outcome of a claimed call, with the verdict on a later claim.
 macro_rules! after_outcome {
     ($($name:ident: $outcome:expr => $verdict:expr;)*) => {
         $(
@@ -72,7 +73,8 @@
     an_unknown_call_stays_unknown: KeyOutcome::Unknown => ClaimVerdict::Unknown;
     an_answer_is_replayed: KeyOutcome::Answered(Some(answer(9)))
         => ClaimVerdict::Done(Some(answer(9)));
-    a_large_answer_is_told_of: KeyOutcome::Answered(None) => ClaimVerdict::Done(None);
+    a_large_answer_is_reported_without_its_body: KeyOutcome::Answered(None)
+        => ClaimVerdict::Done(None);
 }
 
 #[test]
@@ -85,7 +87,7 @@
         claim(&mut table, now, &key, "second"),
         ClaimVerdict::InFlight
     );
-    // Only the holder's word counts.
+    // An outcome is recorded only if the holder of the claim reports it.
     settle(&mut table, &key, "second", KeyOutcome::NotRun);
     assert_eq!(
         claim(&mut table, now, &key, "third"),
@@ -93,7 +95,7 @@
     );
 }
 
-/// A repeated message arrives after the call ended: it must neither free the key nor
+/// A duplicated message arrives after the call ended. It must neither release the key nor
 /// change the outcome.
 #[test]
 fn a_late_repeated_message_changes_nothing() {
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn a_claim_of_a_lost_host_is_unknown_until_the_holder_speaks() {
+fn a_claim_of_a_lost_host_is_unknown_until_the_holder_reports() {
     let (mut table, now, key) = (KeyTable::default(), Instant::now(), key(0, "a"));
     claim(&mut table, now, &key, "first");
     table.orphan(&HostId::from("host-2"));
@@ -149,10 +151,10 @@
     }
 }
 
-/// The table forgets a call that ran, and the caller's program repeats it days later.
-/// Were an absent key simply granted, the call would run twice.
+/// The table removes the key of a call that ran, and the caller repeats the key days later. If
+/// every key without an entry were granted, the call would run twice.
 #[test]
-fn a_key_beyond_the_horizon_is_never_run() {
+fn a_key_of_an_expired_period_is_never_granted() {
     let (mut table, start, old) = (KeyTable::default(), Instant::now(), key(0, "a"));
     claim(&mut table, start, &old, "first");
     settle(&mut table, &old, "first", KeyOutcome::Answered(None));
@@ -178,27 +180,32 @@
 #[test]
 fn memory_is_bounded() {
     let (mut table, now) = (KeyTable::default(), Instant::now());
-    let kept = MAX_TOTAL_STORED_BYTES / MAX_STORED_ANSWER_BYTES;
+    let stored_count = MAX_TOTAL_STORED_BYTES / MAX_STORED_ANSWER_BYTES;
     for count in 0..MAX_KEYS {
         let key = key(0, &count.to_string());
         let account = format!("farm-{}", count / MAX_KEYS_PER_ACCOUNT);
         let verdict = claim_for(&mut table, now, &key, &account);
         assert_eq!(verdict, ClaimVerdict::Granted);
-        if count <= kept {
+        if count <= stored_count {
             let stored = Some(answer(MAX_STORED_ANSWER_BYTES));
             settle(&mut table, &key, "first", KeyOutcome::Answered(stored));
         }
     }
-    let full = claim_for(&mut table, now, &key(0, "more"), "farm-9");
-    assert_eq!(full, ClaimVerdict::Full);
-    // The oldest answer gave way; that its call ran is still known.
+    let verdict_when_full = claim_for(&mut table, now, &key(0, "more"), "farm-9");
+    assert_eq!(verdict_when_full, ClaimVerdict::Full);
+    // The oldest response was removed, but the table still knows that its call ran.
     assert_eq!(
         claim_for(&mut table, now, &key(0, "0"), "farm-0"),
         ClaimVerdict::Done(None)
     );
-    let newest = claim_for(&mut table, now, &key(0, &kept.to_string()), "farm-0");
+    let newest_verdict = claim_for(
+        &mut table,
+        now,
+        &key(0, &stored_count.to_string()),
+        "farm-0",
+    );
     assert_eq!(
-        newest,
+        newest_verdict,
         ClaimVerdict::Done(Some(answer(MAX_STORED_ANSWER_BYTES)))
     );
     let later = now + Duration::from_hours(1);
@@ -211,7 +218,7 @@
 }
 
 #[test]
-fn keys_have_one_form() {
+fn only_well_formed_keys_are_parsed() {
     let parsed = IdempotencyKey::parse("barn.host-0-12.3-gate_7-a").expect("a key");
     assert_eq!(&*parsed.host, "barn.host-0");
     assert_eq!((parsed.incarnation, parsed.period), (12, 3));
@@ -229,8 +236,8 @@
     }
 }
 
-/// One account's program makes a new key for each call, without end. The others' calls
-/// must still find room.
+/// One client account uses a new key for every call without limit. The table must still have
+/// room for the keys of other accounts.
 #[test]
 fn one_account_leaves_room_for_others() {
     let (mut table, now) = (KeyTable::default(), Instant::now());
--- a/crates/jaypin_core/tests/net/mod.rs
+++ b/crates/jaypin_core/tests/net/mod.rs
@@ -1,5 +1,6 @@
-//! Reducers that talk to each other, without processes, links or a clock.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Test network of reducers that exchange messages in memory, without processes or links, on
+//! a clock that only the test advances.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -32,7 +33,7 @@
     }
 }
 
-pub fn list(version: u64, hosts: usize) -> HostList {
+pub fn host_list(version: u64, hosts: usize) -> HostList {
     HostList {
         version,
         hosts: (0..hosts).map(host).collect(),
@@ -40,22 +41,24 @@
     }
 }
 
-/// Reducers whose messages reach each other at once; no time passes by itself. Calls
-/// bring their first token at once and go on until a test ends them.
+/// Reducers whose messages are delivered without delay. A dispatched call reports its first
+/// token without delay and runs until a test ends it.
 #[derive(Debug)]
-pub struct Net {
+pub struct TestNetwork {
+    /// Time of the test; `advance` moves it.
     pub now: Instant,
     pub hosts: BTreeMap<HostId, Reducer>,
-    /// Hosts that neither hear nor say anything.
-    pub silent: BTreeSet<HostId>,
+    /// Hosts that neither receive nor send messages, such as exited or frozen ones.
+    pub isolated: BTreeSet<HostId>,
+    /// Hosts that watch the platform.
     pub watching: BTreeSet<HostId>,
-    /// Requests that were handed to a backend server.
+    /// Requests that were dispatched, with their backend servers.
     pub dispatched: Vec<(RequestId, BackendId)>,
     /// Requests that were refused.
     pub refused: Vec<RequestId>,
 }
 
-impl Net {
+impl TestNetwork {
     pub fn new(count: usize) -> Self {
         let now = Instant::now();
         let reducer = |index: usize| {
@@ -72,28 +75,29 @@
         let mut net = Self {
             now,
             hosts: (0..count).map(reducer).collect(),
-            silent: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             watching: BTreeSet::new(),
             dispatched: Vec::new(),
             refused: Vec::new(),
         };
         for index in 0..count {
-            net.event(&host(index).id, Event::Hosts(list(1, count)));
+            net.event(&host(index).id, Event::Hosts(host_list(1, count)));
         }
-        net.run(Duration::from_secs(3));
+        net.advance(Duration::from_secs(3));
         net
     }
 
+    /// Applies an event at a host, then all messages that follow from it.
     pub fn event(&mut self, host: &HostId, event: Event) {
         let mut inbox = VecDeque::from([(host.clone(), event)]);
         while let Some((to, event)) = inbox.pop_front() {
-            if self.silent.contains(&to) {
+            if self.isolated.contains(&to) {
                 continue;
             }
             let reducer = self.hosts.get_mut(&to).expect("a known host");
             for effect in reducer.apply(self.now, event) {
                 match effect {
-                    Effect::Send { to: peer, message } if !self.silent.contains(&peer) => {
+                    Effect::Send { to: peer, message } if !self.isolated.contains(&peer) => {
                         let from = to.clone();
                         inbox.push_back((peer, Event::Link { from, message }));
                     }
@@ -117,7 +121,8 @@
         }
     }
 
-    pub fn run(&mut self, time: Duration) {
+    /// Advances the clock in steps of 100 ms and ticks all hosts after each.
+    pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += Duration::from_millis(100);
@@ -127,15 +132,17 @@
         }
     }
 
-    pub fn status(&self, at: &str, of: &str) -> MemberStatus {
-        self.hosts[at].membership().status(of)
+    /// Returns the status of the host `subject` in the table of the host `observer`.
+    pub fn status(&self, observer: &str, subject: &str) -> MemberStatus {
+        self.hosts[observer].membership().status(subject)
     }
 
-    pub fn all_see(&self, of: &str, status: MemberStatus) -> bool {
+    /// Returns whether all hosts that aren't isolated have this status for the host `subject`.
+    pub fn all_see(&self, subject: &str, status: MemberStatus) -> bool {
         self.hosts
             .keys()
-            .filter(|at| !self.silent.contains(*at))
-            .all(|at| self.status(at, of) == status)
+            .filter(|observer| !self.isolated.contains(*observer))
+            .all(|observer| self.status(observer, subject) == status)
     }
 
     pub fn id(index: usize) -> HostId {
--- a/crates/jaypin_core/tests/owner_choice.rs
+++ b/crates/jaypin_core/tests/owner_choice.rs
@@ -1,4 +1,5 @@
-//! What an owner decides: its shard, a second one, and its share under `policy: local`.
+//! Decisions of a request's owner: the shard to ask first, the second shard to ask, and the
+//! slots that it may use by itself under `policy: local`.
 
 mod common;
 
@@ -40,6 +41,7 @@
     }
 }
 
+/// The host under test, which owns requests.
 struct Owner {
     reducer: Reducer,
     now: Instant,
@@ -79,8 +81,8 @@
         self.effects.extend(self.reducer.apply(self.now, event));
     }
 
-    /// Shards and leaders that were asked since the last call.
-    fn asked(&mut self) -> Vec<(Shard, HostId)> {
+    /// Removes all effects and returns the shard and the leader of each ask among them.
+    fn take_asks(&mut self) -> Vec<(Shard, HostId)> {
         let effects = std::mem::take(&mut self.effects);
         let steps = effects.into_iter().filter_map(|effect| match effect {
             Effect::Record(record) => Some(record.step),
@@ -94,12 +96,14 @@
             .collect()
     }
 
+    /// Applies the arrival of a request, and returns the shard and the leader of its ask.
     fn ask(&mut self, id: &str, prefix: u64) -> (Shard, HostId) {
-        self.asked();
+        self.take_asks();
         self.apply(Event::Arrived(request(id, prefix)));
-        self.asked().pop().expect("an ask")
+        self.take_asks().pop().expect("an ask")
     }
 
+    /// Applies a refusal that the leader `from` sends.
     fn refuse(&mut self, from: &HostId, id: &str, attempt: u32, wait: Duration) {
         let message = Message::Refused {
             id: id.into(),
@@ -126,12 +130,14 @@
     assert_eq!(used.len(), 4, "40 prefixes spread over all shards");
 }
 
-/// One shard is full, its sibling is not. The caller must not be refused by the one
-/// while the other has room, nor sent round and round when both are full.
+/// One shard of a service is full. The owner must ask another one before it refuses the
+/// request, since that may have free slots, but only one: when both are full, the request must
+/// not go back and forth between them.
 #[test]
 fn a_refused_request_asks_one_other_shard() {
     let mut owner = Owner::new(0, Policy::Grants, 16, 8);
-    // A shard that this host leads itself answers at once; another one is wanted.
+    // The test needs a shard that another host leads, since this host's own shards respond
+    // within the same event.
     let own: HostId = "host-0".into();
     let (number, (first, leader)) = (0..100)
         .map(|number| (number, owner.ask(&format!("r{number}"), number)))
@@ -139,20 +145,23 @@
         .expect("a shard led elsewhere");
     let id = format!("r{number}");
     owner.refuse(&leader, &id, 1, Duration::from_secs(5));
-    let (second, next_leader) = owner.asked().pop().expect("a second ask");
+    let (second, next_leader) = owner.take_asks().pop().expect("a second ask");
     assert_ne!(first, second);
     if next_leader != own {
         owner.refuse(&next_leader, &id, 2, Duration::from_secs(5));
-        let answers = owner.effects.iter();
-        let refused = answers.filter(|effect| matches!(effect, Effect::Refuse { .. }));
+        let effects = owner.effects.iter();
+        let refused = effects.filter(|effect| matches!(effect, Effect::Refuse { .. }));
         assert_eq!(refused.count(), 1);
     }
     let (third, _) = owner.ask("another", number);
-    assert_ne!(third, first, "the hint of the full shard's wait holds");
+    assert_ne!(
+        third, first,
+        "the expected wait of the full shard is still taken into account"
+    );
 }
 
-/// Three hosts share an engine's seven slots by themselves. Were the shares rounded up,
-/// they would overload it together; rounded down, a slot would never be used.
+/// Three hosts split an engine's seven slots without coordination. With shares rounded up, they
+/// would overload the engine together; with shares rounded down, a slot would never be used.
 #[test]
 fn local_shares_add_up_to_the_slots() {
     let dispatched: Vec<usize> = (0..3)
--- a/crates/jaypin_core/tests/scheduler_order.rs
+++ b/crates/jaypin_core/tests/scheduler_order.rs
@@ -1,10 +1,10 @@
-//! Invariants of the shard scheduler over any order of events.
+//! Invariants of the shard scheduler that hold in any order of events.
 
 mod common;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{Bed, ask};
+use common::{TestScheduler, ask};
 use jaypin_core::{Config, Grant, Message, Reason, SlotProgress};
 use proptest::prelude::*;
 
@@ -12,48 +12,62 @@
 const SLOTS: u32 = 3;
 const ACCOUNTS: [&str; 3] = ["large", "small", "other"];
 
+/// An event at an owner. An index selects a waiting ask or a granted slot and wraps around.
 #[derive(Debug, Clone)]
 enum Step {
+    /// Sends a new ask.
     Ask {
         tier: u8,
         account: usize,
-        prompt: u32,
-        answer: u32,
+        prompt_tokens: u32,
+        max_tokens: u32,
     },
-    AskAgain(usize),
-    Repeat(usize),
+    /// Sends a waiting ask with the next attempt number.
+    NextAttempt(usize),
+    /// Sends a waiting ask a second time, unchanged.
+    Duplicate(usize),
     FirstToken(usize),
     Finish(usize),
+    /// Reports that a call was lost.
     Lose(usize),
+    /// Returns a granted slot unused.
     Return(usize),
     Withdraw(usize),
-    Pass(u64),
+    /// Advances the clock by a number of milliseconds.
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         9 => (0..3_u8, 0..3_usize, 1..2_000_u32, 1..40_u32).prop_map(
-            |(tier, account, prompt, answer)| Step::Ask { tier, account, prompt, answer }
+            |(tier, account, prompt_tokens, max_tokens)| {
+                Step::Ask { tier, account, prompt_tokens, max_tokens }
+            }
         ),
-        1 => any::<usize>().prop_map(Step::AskAgain),
-        1 => any::<usize>().prop_map(Step::Repeat),
+        1 => any::<usize>().prop_map(Step::NextAttempt),
+        1 => any::<usize>().prop_map(Step::Duplicate),
         3 => any::<usize>().prop_map(Step::FirstToken),
         3 => any::<usize>().prop_map(Step::Finish),
         1 => any::<usize>().prop_map(Step::Lose),
         1 => any::<usize>().prop_map(Step::Return),
         1 => any::<usize>().prop_map(Step::Withdraw),
-        3 => (1..200_u64).prop_map(Step::Pass),
+        3 => (1..200_u64).prop_map(Step::Advance),
     ]
 }
 
-/// What owners know: asks that wait, grants that they hold, answers by ask.
+/// The owners of the requests, and the scheduler that they send asks to.
 #[derive(Debug)]
 struct Owners {
-    bed: Bed,
+    harness: TestScheduler,
+    /// Asks that wait, by request id.
     waiting: BTreeMap<String, jaypin_core::Ask>,
+    /// Granted slots in use, by request id.
     held: BTreeMap<String, Grant>,
-    answers: BTreeMap<(String, u32), u32>,
-    open: BTreeSet<(String, u32)>,
+    /// Number of responses by request id and attempt.
+    responses: BTreeMap<(String, u32), u32>,
+    /// Request id and attempt of each ask that is still to be answered.
+    pending: BTreeSet<(String, u32)>,
+    /// Number of new asks sent so far.
     count: usize,
 }
 
@@ -64,89 +78,94 @@
             ..Config::default()
         };
         Self {
-            bed: Bed::with(BACKENDS, SLOTS, &cfg),
+            harness: TestScheduler::with_config(BACKENDS, SLOTS, &cfg),
             waiting: BTreeMap::new(),
             held: BTreeMap::new(),
-            answers: BTreeMap::new(),
-            open: BTreeSet::new(),
+            responses: BTreeMap::new(),
+            pending: BTreeSet::new(),
             count: 0,
         }
     }
 
-    fn take(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         match step {
             Step::Ask {
                 tier,
                 account,
-                prompt,
-                answer,
-            } => self.ask_new(*tier, *account, *prompt, *answer),
-            Step::AskAgain(which) => {
-                if let Some(mut again) = pick(&self.waiting, *which) {
-                    self.open.remove(&(again.id.to_string(), again.attempt));
-                    again.attempt += 1;
-                    self.send(again);
+                prompt_tokens,
+                max_tokens,
+            } => self.send_new(*tier, *account, *prompt_tokens, *max_tokens),
+            Step::NextAttempt(which) => {
+                if let Some(mut next) = pick(&self.waiting, *which) {
+                    self.pending.remove(&(next.id.to_string(), next.attempt));
+                    next.attempt += 1;
+                    self.send(next);
                 }
             }
-            Step::Repeat(which) => {
-                if let Some(same) = pick(&self.waiting, *which) {
-                    self.bed.ask(same);
+            Step::Duplicate(which) => {
+                if let Some(duplicate) = pick(&self.waiting, *which) {
+                    self.harness.submit(duplicate);
                 }
             }
             Step::FirstToken(which) => {
                 if let Some(grant) = pick(&self.held, *which) {
-                    self.bed.first_token(&grant);
+                    self.harness.report_first_token(&grant);
                 }
             }
-            Step::Finish(which) => self.end(*which, |bed, grant| bed.finish(grant, 5, 100)),
-            Step::Lose(which) => self.end(*which, Bed::lose),
-            Step::Return(which) => self.end(*which, |bed, grant| {
-                bed.progress(grant, SlotProgress::Returned);
+            Step::Finish(which) => self.end(*which, |harness, grant| {
+                harness.report_finished(grant, 5, 100);
+            }),
+            Step::Lose(which) => self.end(*which, TestScheduler::report_lost),
+            Step::Return(which) => self.end(*which, |harness, grant| {
+                harness.report_progress(grant, SlotProgress::Returned);
             }),
             Step::Withdraw(which) => {
-                if let Some(gone) = pick(&self.waiting, *which) {
-                    self.bed.scheduler.withdraw(&gone.id);
-                    self.waiting.remove(&*gone.id);
-                    self.open.remove(&(gone.id.to_string(), gone.attempt));
+                if let Some(withdrawn) = pick(&self.waiting, *which) {
+                    self.harness.scheduler.withdraw(&withdrawn.id);
+                    self.waiting.remove(&*withdrawn.id);
+                    self.pending
+                        .remove(&(withdrawn.id.to_string(), withdrawn.attempt));
                 }
             }
-            Step::Pass(millis) => self.bed.pass(*millis),
+            Step::Advance(millis) => self.harness.advance(*millis),
         }
-        self.look();
+        self.check_messages();
     }
 
-    fn ask_new(&mut self, tier: u8, account: usize, prompt: u32, answer: u32) {
+    fn send_new(&mut self, tier: u8, account: usize, prompt_tokens: u32, max_tokens: u32) {
         self.count += 1;
         let mut new = ask(&format!("r{}", self.count), tier);
         new.account = ACCOUNTS[account].into();
-        new.prompt_tokens = prompt;
-        new.max_tokens = answer;
+        new.prompt_tokens = prompt_tokens;
+        new.max_tokens = max_tokens;
         self.send(new);
     }
 
     fn send(&mut self, ask: jaypin_core::Ask) {
-        self.open.insert((ask.id.to_string(), ask.attempt));
+        self.pending.insert((ask.id.to_string(), ask.attempt));
         self.waiting.insert(ask.id.to_string(), ask.clone());
-        self.bed.ask(ask);
+        self.harness.submit(ask);
     }
 
-    fn end(&mut self, which: usize, how: impl Fn(&mut Bed, &Grant)) {
+    /// Ends a granted request; `report` reports its end to the scheduler.
+    fn end(&mut self, which: usize, report: impl Fn(&mut TestScheduler, &Grant)) {
         if let Some(grant) = pick(&self.held, which) {
             self.held.remove(&*grant.id);
-            how(&mut self.bed, &grant);
+            report(&mut self.harness, &grant);
         }
     }
 
-    /// Takes the scheduler's letters in their order and checks each.
-    fn look(&mut self) {
-        for (_, message) in std::mem::take(&mut self.bed.out) {
+    /// Removes the scheduler's messages in their order, checks each, and checks the number of
+    /// granted slots.
+    fn check_messages(&mut self) {
+        for (_, message) in std::mem::take(&mut self.harness.out) {
             match message {
                 Message::Grant(grant) => {
                     let id = grant.id.to_string();
-                    self.answered(&id, grant.attempt);
+                    self.record_response(&id, grant.attempt);
                     assert!(
                         self.held.insert(id, grant).is_none(),
-                        "granted twice at once"
+                        "a running request was granted another slot"
                     );
                 }
                 Message::Refused {
@@ -156,11 +175,11 @@
                     ..
                 } => {
                     let tier = self.waiting[&*id].tier;
-                    self.answered(&id, attempt);
-                    let lower = self.waiting.values().any(|other| other.tier > tier);
+                    self.record_response(&id, attempt);
+                    let lower_tier_waits = self.waiting.values().any(|other| other.tier > tier);
                     assert!(
-                        refusal.reason != Reason::Shed || !lower,
-                        "a higher tier was shed first"
+                        refusal.reason != Reason::Shed || !lower_tier_waits,
+                        "a request was shed while a lower tier waited"
                     );
                     assert!(refusal.retry_after.is_some());
                 }
@@ -172,20 +191,21 @@
             *by_backend.entry(&grant.backend).or_default() += 1;
         }
         assert!(by_backend.values().all(|running| *running <= SLOTS));
-        assert_eq!(self.held.len(), self.bed.scheduler.running_count());
+        assert_eq!(self.held.len(), self.harness.scheduler.running_count());
     }
 
-    fn answered(&mut self, id: &str, attempt: u32) {
+    fn record_response(&mut self, id: &str, attempt: u32) {
         let key = (id.to_owned(), attempt);
         self.waiting.remove(id);
         assert!(
-            self.open.remove(&key),
-            "an answer to an ask that is not open"
+            self.pending.remove(&key),
+            "a response to an ask that is not pending"
         );
-        *self.answers.entry(key).or_default() += 1;
+        *self.responses.entry(key).or_default() += 1;
     }
 }
 
+/// Returns the entry at an index that wraps around, or `None` if the map is empty.
 fn pick<T: Clone>(from: &BTreeMap<String, T>, which: usize) -> Option<T> {
     let len = from.len();
     from.values().nth(which.checked_rem(len)?).cloned()
@@ -195,23 +215,23 @@
     #![proptest_config(ProptestConfig { cases: 192, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// What a user would see of a breach: an engine with more streams than it can pace,
-    /// a request that runs twice, a command refused while a summary waits, or a caller
-    /// that is never answered.
+    /// Guards against what callers would notice: an engine that gets more streams than slots,
+    /// so that their tokens arrive too slowly; a request that runs twice; a command that is shed
+    /// while a summary waits; a caller that never gets a response.
     #[test]
-    fn any_order_of_events_keeps_the_promises(steps in prop::collection::vec(step(), 1..120)) {
+    fn any_order_of_events_keeps_the_invariants(steps in prop::collection::vec(step(), 1..120)) {
         let mut owners = Owners::new();
         for step in &steps {
-            owners.take(step);
+            owners.run_step(step);
         }
-        // Every deadline passes while running work ends: nothing may stay open.
+        // All deadlines pass and running requests end, so no ask may stay pending.
         for _ in 0..1_400 {
-            owners.take(&Step::Pass(500));
-            owners.take(&Step::FirstToken(0));
-            owners.take(&Step::Finish(0));
+            owners.run_step(&Step::Advance(500));
+            owners.run_step(&Step::FirstToken(0));
+            owners.run_step(&Step::Finish(0));
         }
-        prop_assert!(owners.open.is_empty(), "unanswered: {:?}", owners.open);
-        prop_assert!(owners.answers.values().all(|count| *count == 1));
-        prop_assert_eq!(owners.bed.scheduler.waiting_count(), 0);
+        prop_assert!(owners.pending.is_empty(), "unanswered: {:?}", owners.pending);
+        prop_assert!(owners.responses.values().all(|count| *count == 1));
+        prop_assert_eq!(owners.harness.scheduler.waiting_count(), 0);
     }
 }
--- a/crates/jaypin_core/tests/stale_grants.rs
+++ b/crates/jaypin_core/tests/stale_grants.rs
@@ -1,4 +1,4 @@
-//! A host that was paused uses no grant from before.
+//! A host that was paused doesn't use a grant that is older than the end of its pause.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,18 +15,18 @@
 - {account: farm, share: 1}  # asked by: c
 ";
 
-fn name(index: usize) -> HostId {
+fn host_id(index: usize) -> HostId {
     format!("host-{index}").into()
 }
 
-fn start(index: usize, now: Instant) -> Reducer {
+fn start_host(index: usize, now: Instant) -> Reducer {
     let mut reducer = Reducer::new(Config {
-        host: name(index),
+        host: host_id(index),
         pause_limit: Duration::from_secs(1),
         ..Config::default()
     });
     let host = |index| HostRecord {
-        id: name(index),
+        id: host_id(index),
         address: "10.0.0.1:1".to_owned(),
         link: "10.0.0.1:2".to_owned(),
         failure_domain: "domain-0".into(),
@@ -69,8 +69,9 @@
     }
 }
 
-/// The ask that a host sends to the other one, if the other leads the shard.
-fn ask_sent(effects: &[Effect]) -> Option<(HostId, Ask)> {
+/// Returns the ask that a host sent to the shard's leader and that leader, or `None` if the
+/// host leads the shard itself.
+fn sent_ask(effects: &[Effect]) -> Option<(HostId, Ask)> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send {
             to,
@@ -116,31 +117,32 @@
     effects.iter().any(is_return)
 }
 
-/// A vet's summary waits, its host is paused for half a minute, the shard scheduler gives
-/// the slot to another, and the host wakes up with the old grant in its socket. Used, it
-/// would overload the engine. The request must ask anew and still be served.
+/// A host is paused for 30 s while its request waits, and a grant arrives in its socket. The
+/// shard scheduler meanwhile grants the slot to another request, so using the old grant would
+/// overload the engine. The host must return the grant, ask again and still dispatch the
+/// request.
 #[test]
-fn a_grant_that_lay_in_a_socket_during_a_pause_goes_back() {
+fn a_grant_buffered_during_a_pause_is_returned() {
     let now = Instant::now();
-    let asked = (0..2).find_map(|index| {
-        let mut host = start(index, now);
+    let follower = (0..2).find_map(|index| {
+        let mut host = start_host(index, now);
         let effects = host.apply(now, Event::Arrived(request()));
-        ask_sent(&effects).map(|(leader, ask)| (host, leader, ask))
+        sent_ask(&effects).map(|(leader, ask)| (host, leader, ask))
     });
-    let (mut host, leader, ask) = asked.expect("one of two hosts does not lead");
-    let woken = now + Duration::from_secs(30);
+    let (mut host, leader, ask) = follower.expect("one of two hosts does not lead");
+    let resumed_at = now + Duration::from_secs(30);
     let message = Message::Grant(grant(&ask));
     let from = leader.clone();
-    let effects = host.apply(woken, Event::Link { from, message });
+    let effects = host.apply(resumed_at, Event::Link { from, message });
     assert!(
         !dispatches(&effects) && returns_slot(&effects),
         "{effects:#?}"
     );
-    let (_, anew) = ask_sent(&effects).expect("a new ask");
-    assert!(anew.attempt > ask.attempt);
-    let message = Message::Grant(grant(&anew));
+    let (_, second_ask) = sent_ask(&effects).expect("a new ask");
+    assert!(second_ask.attempt > ask.attempt);
+    let message = Message::Grant(grant(&second_ask));
     let from = leader;
     assert!(dispatches(
-        &host.apply(woken, Event::Link { from, message })
+        &host.apply(resumed_at, Event::Link { from, message })
     ));
 }
--- a/crates/jaypin_core/tests/succession.rs
+++ b/crates/jaypin_core/tests/succession.rs
@@ -1,4 +1,4 @@
-//! A shard's leader dies, freezes, restarts or leaves: what the successor grants.
+//! Change of a shard's leader, after an exit, a pause or a drain: what the new leader grants.
 
 mod net;
 
@@ -9,7 +9,7 @@
     CallOutcome, CallProgress, Event, HostId, LoadReport, RequestId, RequestInfo, Shard,
 };
 use jaypin_rules::{Repeat, ServiceKind, parse};
-use net::{Net, list};
+use net::{TestNetwork, host_list};
 
 const RULES: &str = "\
 - {tier: question, rank: 0, first-token-ms: 60000, gap-ms: 66, whole-ms: 600000, weight: 1}  # asked by: a
@@ -17,8 +17,8 @@
 - {account: farm, share: 1}  # asked by: a
 ";
 const HOSTS: usize = 4;
-/// More requests than all backend servers run at once.
-const MANY: usize = 60;
+/// Number of requests that exceeds the slots of all backend servers.
+const EXCESS_REQUESTS: usize = 60;
 
 fn shard() -> Shard {
     Shard {
@@ -46,45 +46,45 @@
     }
 }
 
-/// A fleet with rules in force and nothing to do.
-fn idle() -> Net {
-    let mut net = Net::new(HOSTS);
+/// Creates a fleet with rules in force and no requests.
+fn idle() -> TestNetwork {
+    let mut net = TestNetwork::new(HOSTS);
     let rules = Arc::new(parse(RULES).expect("rules"));
     for index in 0..HOSTS {
         let rules = rules.clone();
-        net.event(&Net::id(index), Event::Rules { version: 1, rules });
+        net.event(&TestNetwork::id(index), Event::Rules { version: 1, rules });
     }
     net
 }
 
-/// A fleet whose backend servers all run what they can, and many requests that wait.
-fn saturated() -> Net {
+/// Creates a fleet in which all slots are taken and many requests wait.
+fn saturated() -> TestNetwork {
     let mut net = idle();
-    arrive(&mut net, 0..MANY);
-    assert!(!net.dispatched.is_empty() && net.dispatched.len() < MANY);
+    arrive(&mut net, 0..EXCESS_REQUESTS);
+    assert!(!net.dispatched.is_empty() && net.dispatched.len() < EXCESS_REQUESTS);
     net
 }
 
-/// Requests come to each host in turn, and the fleet has time to act.
-fn arrive(net: &mut Net, counts: std::ops::Range<usize>) {
+/// Sends one request per count to the hosts in turn, then advances the clock by 1 s.
+fn arrive(net: &mut TestNetwork, counts: std::ops::Range<usize>) {
     for count in counts {
-        let owner = Net::id(count % HOSTS);
+        let owner = TestNetwork::id(count % HOSTS);
         let id = format!("{owner}-{count}");
         net.event(&owner, Event::Arrived(request(&id)));
         net.event(&owner, Event::Tick);
     }
-    net.run(Duration::from_secs(1));
+    net.advance(Duration::from_secs(1));
 }
 
-fn leader(net: &Net, seen_by: usize) -> HostId {
-    let view = net.hosts[&Net::id(seen_by)].membership();
-    view.leader(&shard()).expect("a leader").clone()
+fn leader(net: &TestNetwork, observer: usize) -> HostId {
+    let membership = net.hosts[&TestNetwork::id(observer)].membership();
+    membership.leader(&shard()).expect("a leader").clone()
 }
 
-/// A host that is not the leader.
-fn witness(net: &Net) -> HostId {
+/// Returns a host that isn't the leader.
+fn other_host(net: &TestNetwork) -> HostId {
     let leader = leader(net, 0);
-    let other = (0..HOSTS).map(Net::id).find(|id| *id != leader);
+    let other = (0..HOSTS).map(TestNetwork::id).find(|id| *id != leader);
     other.expect("another host")
 }
 
@@ -92,16 +92,17 @@
     id.rsplit_once('-').expect("an id").0.into()
 }
 
-fn running_elsewhere(net: &Net, not: &HostId) -> usize {
+/// Returns the number of dispatched requests of hosts other than `excluded`.
+fn running_elsewhere(net: &TestNetwork, excluded: &HostId) -> usize {
     let running = net.dispatched.iter();
-    running.filter(|(id, _)| owner_of(id) != *not).count()
+    running.filter(|(id, _)| owner_of(id) != *excluded).count()
 }
 
-/// Ends one running request of a host other than `not`.
-fn finish_one(net: &mut Net, not: &HostId) {
+/// Ends one running request of a host other than `excluded`.
+fn finish_one(net: &mut TestNetwork, excluded: &HostId) {
     let running = &net.dispatched;
-    let of_others = running.iter().find(|(id, _)| owner_of(id) != *not);
-    let id = of_others.expect("one that runs").0.clone();
+    let of_others = running.iter().find(|(id, _)| owner_of(id) != *excluded);
+    let id = of_others.expect("a running request").0.clone();
     net.dispatched.retain(|(other, _)| *other != id);
     let progress = CallProgress::Finished {
         tokens: 10,
@@ -110,70 +111,70 @@
     net.event(&owner_of(&id), Event::Call { id, progress });
 }
 
-/// The leader dies while every slot is taken. Its successor knows nothing of the slots
-/// but what the owners report, and must not grant them a second time.
+/// The leader exits while all slots are taken. Its successor knows only the running requests
+/// that owners report, and must not grant their slots a second time.
 #[test]
-fn a_successor_grants_only_on_top_of_what_runs() {
+fn a_successor_counts_running_requests_before_it_grants() {
     let mut net = saturated();
-    let (dead, witness) = (leader(&net, 0), witness(&net));
+    let (exited, observer) = (leader(&net, 0), other_host(&net));
     let before = net.dispatched.len();
-    net.silent.insert(dead.clone());
-    net.event(&witness, Event::PeerExited(dead.clone()));
-    net.run(Duration::from_millis(1_500));
-    // What the dead host ran ended with it; all else counts.
-    assert_eq!(running_elsewhere(&net, &dead), before);
-    finish_one(&mut net, &dead);
-    net.run(Duration::from_millis(200));
+    net.isolated.insert(exited.clone());
+    net.event(&observer, Event::PeerExited(exited.clone()));
+    net.advance(Duration::from_millis(1_500));
+    // The requests of the exited host ended with it; only those of others are counted.
+    assert_eq!(running_elsewhere(&net, &exited), before);
+    finish_one(&mut net, &exited);
+    net.advance(Duration::from_millis(200));
     assert_eq!(
-        running_elsewhere(&net, &dead),
+        running_elsewhere(&net, &exited),
         before,
-        "one ended, one began"
+        "one request ended and one was dispatched"
     );
 }
 
-/// The leader is frozen while another leads its shard, and thaws with its old counts
-/// and its old queue. It leads again, by name, and must not grant on what it remembers.
+/// The leader is frozen while another host leads its shard, and resumes with its old counts
+/// and its old queue. It is elected again and must not grant slots by that old state.
 #[test]
-fn a_thawed_leader_grants_nothing_twice() {
+fn a_resumed_leader_grants_no_slot_twice() {
     let mut net = saturated();
-    let (frozen, witness) = (leader(&net, 0), witness(&net));
-    net.silent.insert(frozen.clone());
-    net.event(&witness, Event::PeerUnresponsive(frozen.clone()));
-    net.run(Duration::from_secs(1));
+    let (frozen, observer) = (leader(&net, 0), other_host(&net));
+    net.isolated.insert(frozen.clone());
+    net.event(&observer, Event::PeerUnresponsive(frozen.clone()));
+    net.advance(Duration::from_secs(1));
     let before = net.dispatched.len();
-    net.silent.clear();
+    net.isolated.clear();
     net.event(&frozen, Event::Tick);
-    net.run(Duration::from_secs(2));
+    net.advance(Duration::from_secs(2));
     assert_eq!(leader(&net, 0), frozen);
     assert_eq!(net.dispatched.len(), before);
     let ids: std::collections::BTreeSet<_> = net.dispatched.iter().map(|(id, _)| id).collect();
     assert_eq!(ids.len(), before, "no request was dispatched twice");
 }
 
-/// The leader freezes while little runs. Its successor fills every slot, and many
-/// requests wait. The leader thaws, remembers free slots, and is asked at once by every
-/// owner: it must not grant before it heard what runs by now.
+/// The leader freezes while 4 requests run. Its successor fills all slots, and many requests
+/// wait. The leader resumes with its old count of free slots and gets asks from all owners at
+/// once. It must not grant before the owners have reported what runs.
 #[test]
-fn a_thawed_leader_forgets_what_was_free() {
+fn a_resumed_leader_discards_its_old_free_slots() {
     let slots = saturated().dispatched.len();
     let mut net = idle();
     arrive(&mut net, 0..4);
     assert_eq!(net.dispatched.len(), 4);
-    let (frozen, witness) = (leader(&net, 0), witness(&net));
-    net.silent.insert(frozen.clone());
-    net.event(&witness, Event::PeerUnresponsive(frozen.clone()));
-    arrive(&mut net, 4..MANY);
+    let (frozen, observer) = (leader(&net, 0), other_host(&net));
+    net.isolated.insert(frozen.clone());
+    net.event(&observer, Event::PeerUnresponsive(frozen.clone()));
+    arrive(&mut net, 4..EXCESS_REQUESTS);
     let before = net.dispatched.len();
     assert!(running_elsewhere(&net, &frozen) <= slots);
-    net.silent.clear();
+    net.isolated.clear();
     net.event(&frozen, Event::Tick);
-    net.run(Duration::from_secs(2));
+    net.advance(Duration::from_secs(2));
     assert_eq!(leader(&net, 0), frozen);
     assert_eq!(net.dispatched.len(), before);
 }
 
-/// The leader was frozen for less than it takes the others to notice. It noticed itself
-/// and forgot its counts, so owners have to report though nobody else ever led.
+/// The leader is frozen for 700 ms, too short for the others to detect. It detects the pause
+/// itself and discards its counts, so the owners must report although no other host has led.
 #[test]
 fn owners_report_to_a_leader_in_a_new_term() {
     let mut net = saturated();
@@ -181,32 +182,32 @@
     let before = net.dispatched.len();
     net.now += Duration::from_millis(700);
     net.event(&leader, Event::Tick);
-    net.run(Duration::from_secs(2));
+    net.advance(Duration::from_secs(2));
     assert_eq!(net.dispatched.len(), before);
     let summary = net.hosts[&leader].summary();
     assert_eq!(summary.granted_here, before);
-    assert_eq!(summary.queued_here, MANY - before);
+    assert_eq!(summary.queued_here, EXCESS_REQUESTS - before);
 }
 
-/// A leader that leaves hands its shard over, and its own requests stay its own.
+/// A leader that drains transfers its shard, but keeps and serves its own requests.
 #[test]
-fn a_leaving_leader_hands_its_shard_over() {
+fn a_leaving_leader_transfers_its_shard() {
     let mut net = saturated();
     let leaving = leader(&net, 0);
     let before = net.dispatched.len();
     net.event(&leaving, Event::Drain);
-    net.run(Duration::from_secs(1));
+    net.advance(Duration::from_secs(1));
     let successor = leader(&net, 0);
     assert_ne!(successor, leaving);
     assert_eq!(net.hosts[&successor].summary().granted_here, before);
     assert_eq!(net.hosts[&leaving].summary().shards_led, 0);
-    assert!(net.refused.is_empty(), "what was accepted is served");
+    assert!(net.refused.is_empty(), "no accepted request is refused");
 }
 
-/// A backend server says in a load report that it leaves. The host list lags and names
-/// it live in its next version: that must not bring it new work.
+/// A backend server's load report says that it is leaving, and the next version of the host
+/// list, which lags, still has it as live. It must not get new requests.
 #[test]
-fn a_backend_servers_own_word_outlasts_an_old_host_list() {
+fn a_leaving_report_overrides_an_old_host_list() {
     let mut net = idle();
     let leader = leader(&net, 0);
     let report = LoadReport {
@@ -217,15 +218,15 @@
         age: Duration::ZERO,
     };
     net.event(&leader, Event::Load(report));
-    net.event(&leader, Event::Hosts(list(2, HOSTS)));
-    // A pause makes the leader start its scheduler anew, with nothing learned.
+    net.event(&leader, Event::Hosts(host_list(2, HOSTS)));
+    // A pause makes the leader create a new scheduler, which has learned nothing.
     net.now += Duration::from_secs(1);
     net.event(&leader, Event::Tick);
-    for count in 0..MANY {
+    for count in 0..EXCESS_REQUESTS {
         let id = format!("host-0-{count}");
-        net.event(&Net::id(0), Event::Arrived(request(&id)));
+        net.event(&TestNetwork::id(0), Event::Arrived(request(&id)));
     }
-    net.run(Duration::from_secs(1));
+    net.advance(Duration::from_secs(1));
     assert!(!net.dispatched.is_empty());
     assert!(net.dispatched.iter().all(|(_, to)| &**to != "engine-1"));
 }
