--- a/crates/jaypin_core/tests/common/mod.rs
+++ b/crates/jaypin_core/tests/common/mod.rs
@@ -29,7 +29,7 @@
     pub scheduler: Scheduler,
     /// Time of the test; `advance` moves it.
     pub now: Instant,
-    /// Messages of the scheduler that no test has taken yet.
+    /// Messages of the scheduler that the test has not removed yet.
     pub out: Vec<OutgoingMessage>,
 }
 
--- a/crates/jaypin_core/tests/honest_refusals.rs
+++ b/crates/jaypin_core/tests/honest_refusals.rs
@@ -146,7 +146,7 @@
 }
 
 /// A host that has just started doesn't know its peers. A call that reaches it may repeat one
-/// that ran, and the host can't ask the key's owner yet.
+/// that ran, and the host doesn't know yet which host to ask.
 #[test]
 fn a_host_that_is_not_ready_reports_unknown_for_a_key() {
     let mut host = TestHost::new();
@@ -194,7 +194,7 @@
     assert_eq!(refusal(&fx), Some((Reason::Quarantined, Ran::NotRun)));
 }
 
-/// A host drains while callers keep sending keys whose owner is frozen and confirms nothing.
+/// A host drains while callers keep sending keys whose owner is frozen and doesn't respond.
 /// The host must still exit within 12 s. If it went on claiming such keys, it would keep
 /// running for as long as calls arrive.
 #[test]
--- a/crates/jaypin_core/tests/hostile_messages.rs
+++ b/crates/jaypin_core/tests/hostile_messages.rs
@@ -158,8 +158,8 @@
     })]
 
     /// A peer of another build, or one with corrupted memory, sends invalid values: unbounded
-    /// durations, NaN, numbers of grants that were never made. The host that receives them must
-    /// go on serving, since a panic would end the process with all its streams.
+    /// durations, NaN, grant numbers that were never issued. The host that receives them must go
+    /// on serving, since a panic would end the process with all its streams.
     #[test]
     fn no_message_stops_a_host(
         steps in proptest::collection::vec((messages(), 0..2_000_u64), 1..40),
--- a/crates/jaypin_core/tests/membership.rs
+++ b/crates/jaypin_core/tests/membership.rs
@@ -296,7 +296,8 @@
 }
 
 /// One of 370 hosts is lost. If the others chose all their partners anew, each loss would
-/// cost the whole fleet a round of handshakes, and several losses in a row would break up its network.
+/// cost the whole fleet a round of handshakes, and several losses in a row would break up the
+/// network of links.
 #[test]
 fn losing_a_host_changes_few_links() {
     let records: Vec<HostRecord> = (0..370).map(host).collect();
--- a/crates/jaypin_core/tests/net/mod.rs
+++ b/crates/jaypin_core/tests/net/mod.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Reducers whose messages are delivered without delay. A dispatched call reports its first
-/// token without delay and runs until a test ends it.
+/// Reducers whose messages are delivered at once. A dispatched call reports its first token at
+/// once and runs until a test ends it.
 #[derive(Debug)]
 pub struct TestNetwork {
     /// Time of the test; `advance` moves it.
--- a/crates/jaypin_core/tests/scheduler.rs
+++ b/crates/jaypin_core/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Decisions of the shard scheduler, as the messages that it sends after events.
+//! Decisions of the shard scheduler: which messages it sends in response to events.
 
 mod common;
 
--- a/crates/jaypin_core/tests/stale_grants.rs
+++ b/crates/jaypin_core/tests/stale_grants.rs
@@ -1,4 +1,4 @@
-//! A host that was paused doesn't use a grant that is older than the end of its pause.
+//! A host that was paused doesn't use grants that were sent before the pause ended.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/jaypin_core/tests/succession.rs
+++ b/crates/jaypin_core/tests/succession.rs
@@ -65,7 +65,7 @@
     net
 }
 
-/// Sends one request per count to the hosts in turn, then advances the clock by 1 s.
+/// Sends the requests with these numbers to the hosts in turn, then advances the clock by 1 s.
 fn arrive(net: &mut TestNetwork, counts: std::ops::Range<usize>) {
     for count in counts {
         let owner = TestNetwork::id(count % HOSTS);
@@ -133,7 +133,8 @@
 }
 
 /// The leader is frozen while another host leads its shard, and resumes with its old counts
-/// and its old queue. It is elected again and must not grant slots by that old state.
+/// and its old queue. Leaders are chosen by their ids, so it leads again, and it must not grant
+/// slots by that old state.
 #[test]
 fn a_resumed_leader_grants_no_slot_twice() {
     let mut net = saturated();
@@ -189,7 +190,8 @@
     assert_eq!(summary.queued_here, EXCESS_REQUESTS - before);
 }
 
-/// A leader that drains transfers its shard, but keeps and serves its own requests.
+/// A leader that drains transfers its shard to another host, but it still owns and serves its
+/// own requests.
 #[test]
 fn a_leaving_leader_transfers_its_shard() {
     let mut net = saturated();
