--- a/crates/jaypin/src/cli/audit.rs
+++ b/crates/jaypin/src/cli/audit.rs
@@ -6,7 +6,7 @@
 use super::target::{TARGET_HELP, Target};
 use super::word::Word;
 use super::{Failure, Outcome, date, help, print_json, text_value};
-use crate::rules_change::{RulesStore, Trail};
+use crate::rules_change::{AuditTrail, RulesStore};
 
 const HELP: &str = "\
 usage: jaypin audit [--verify] [--expect DIGEST] [OPTIONS]
@@ -35,7 +35,7 @@
         }
     }
     let client = target.platform()?;
-    let texts = Trail::new(&client).read().map_err(Failure::Failed)?;
+    let texts = AuditTrail::new(&client).read().map_err(Failure::Failed)?;
     let (entries, mut faults) = verify_trail(texts.iter().map(String::as_str));
     if let Some(digest) = expected {
         faults.extend(missing_digest(&texts, &digest));
--- a/crates/jaypin/src/cli/rules/apply.rs
+++ b/crates/jaypin/src/cli/rules/apply.rs
@@ -14,7 +14,7 @@
 use crate::cli::word::Word;
 use crate::cli::{number_value, text_value};
 use crate::platform::PlatformClient;
-use crate::rules_change::{Applied, Deadline, NewRules, RulesStore, Trail, unix_seconds};
+use crate::rules_change::{Applied, AuditTrail, Deadline, NewRules, RulesStore, unix_seconds};
 
 const HELP: &str = "\
 usage: jaypin rules apply FILE --edited-from VERSION --author NAME [OPTIONS]
@@ -83,7 +83,7 @@
     let deadline = Deadline::after(args.timeout);
     let store = RulesStore::new(&client);
     let (found_version, before) = store
-        .read_since(args.edited_from)
+        .read_at_least(args.edited_from)
         .map_err(Failure::Failed)?;
     let changes = difference(&before.text, &text);
     let mut apply = Apply {
@@ -171,7 +171,7 @@
         self.entry.kind = kind;
         self.entry.new_version = new_version;
         self.entry.at = unix_seconds();
-        let appended = Trail::new(self.client).append(self.entry.clone(), self.deadline);
+        let appended = AuditTrail::new(self.client).append(self.entry.clone(), self.deadline);
         appended.map_err(|error| Failure::Failed(format!("audit trail: {error}")))
     }
 }
--- a/crates/jaypin/src/cli/rules/wait.rs
+++ b/crates/jaypin/src/cli/rules/wait.rs
@@ -45,7 +45,7 @@
                 format!("these hosts don't report it: {}", missing.join(", "))
             }
         };
-        if deadline.is_over() {
+        if deadline.has_passed() {
             return Err(Failure::Failed(format!(
                 "version {version} is accepted, but {late}"
             )));
--- a/crates/jaypin/src/logging.rs
+++ b/crates/jaypin/src/logging.rs
@@ -1,8 +1,8 @@
-//! Structured logs: one line an event, key=value pairs behind the message.
+//! Structured logs: one line for each event, with `key=value` pairs after the message.
 
 use std::io::Write;
 
-/// Sends logs to standard error; `RUST_LOG` filters them, `info` by default.
+/// Starts logging to standard error; `RUST_LOG` sets the filter, `info` by default.
 pub fn start() {
     let env = env_logger::Env::default().default_filter_or("info");
     env_logger::Builder::from_env(env)
@@ -22,6 +22,7 @@
         .init();
 }
 
+/// Writes the key-value pairs of a record to its log line.
 struct Pairs<'a>(&'a mut env_logger::fmt::Formatter);
 
 impl<'kvs> log::kv::VisitSource<'kvs> for Pairs<'_> {
--- a/crates/jaypin/src/main.rs
+++ b/crates/jaypin/src/main.rs
@@ -1,7 +1,7 @@
-//! jaypin: a request scheduler for unlike engines.
+//! A request scheduler for heterogeneous inference engines.
 //!
-//! One binary. `jaypin serve` runs an entry host; the other subcommands are for
-//! operators. See `ARCHITECTURE.md` for the path of a request.
+//! `jaypin serve` and `jaypin entry` run an entry host; the other subcommands are tools
+//! for operators. `ARCHITECTURE.md` describes the path of a request.
 
 mod answer;
 mod backend_call;
@@ -23,9 +23,9 @@
 
 use std::process::ExitCode;
 
-/// Exit code when the command line, settings or rules are wrong.
+/// Exit code for an invalid command line, settings file or rule file.
 const EXIT_USAGE: u8 = 2;
-/// Exit code when something failed while running.
+/// Exit code for a command that failed while running.
 const EXIT_FAILED: u8 = 1;
 
 fn main() -> ExitCode {
--- a/crates/jaypin/src/operator/explain.rs
+++ b/crates/jaypin/src/operator/explain.rs
@@ -1,8 +1,8 @@
-//! Explains a request: from this host's records, or by asking the host that owns it.
+//! Explains a request from this host's records or from those of the host that owns it.
 //!
-//! The owner's operator listener is asked, not a link: links carry decisions and must
-//! not wait for operators. Hosts of a fleet use one port for operators, so the owner's
-//! address follows from the host list.
+//! The query goes to the owner's operator listener rather than over a link, since links carry
+//! scheduling messages, which must not wait for operators. All hosts of a fleet use the same
+//! port for operators, so the owner's address follows from the host list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use crate::decisions::RequestOwner;
 use crate::snapshot::Snapshot;
 
-/// Time for the owner to answer.
+/// Timeout of a query to the owner.
 const OWNER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Header of a question that another host passed on, so that it goes no further.
-const PASSED_ON: &str = "x-jaypin-passed-on";
+/// Header of a query that another host has forwarded; it prevents a second forwarding.
+const FORWARDED_HEADER: &str = "x-jaypin-passed-on";
 
 impl Operator {
-    /// Gives the record of a request.
+    /// Returns the record of a request, or an error page that says why there is none.
     pub(super) fn explain(&self, req: &Request, id: &str, snapshot: &Snapshot) -> Page {
         if let Some(body) = self.decisions.find(id) {
             return (200, serde_json::to_string(&body).unwrap_or_default());
@@ -27,23 +27,24 @@
         let Some(owner) = RequestOwner::of(id) else {
             return error_page(404, "no request has such an id");
         };
-        if owner.host != self.own.host {
-            return match header(req, PASSED_ON) {
+        if owner.host != self.identity.host {
+            return match header(req, FORWARDED_HEADER) {
                 Some(_) => error_page(404, "the request belongs to another host"),
-                None => self.ask_owner(req, id, owner, snapshot),
+                None => self.forward_to_owner(req, id, owner, snapshot),
             };
         }
-        if owner.incarnation == self.own.incarnation {
-            error_page(404, "the record is not kept any more: see the host's log")
+        if owner.incarnation == self.identity.incarnation {
+            error_page(404, "the record is no longer kept: see the host's log")
         } else {
             error_page(
                 404,
-                "the process that owned it has ended: see the host's log",
+                "the process that owned the request has exited: see the host's log",
             )
         }
     }
 
-    fn ask_owner(
+    /// Forwards the query for a request to the host that owns it.
+    fn forward_to_owner(
         &self,
         req: &Request,
         id: &str,
@@ -53,25 +54,34 @@
         let hosts = &snapshot.hosts.hosts;
         let record = hosts.iter().find(|host| &*host.id == owner.host);
         let Some(record) = record else {
-            return error_page(404, "the host that owned it is not in the host list");
+            return error_page(
+                404,
+                "the host that owns the request is not in the host list",
+            );
         };
         let Ok(mut address) = record.link.parse::<SocketAddr>() else {
-            return error_page(502, "the owner's address can't be read");
+            return error_page(
+                502,
+                "the host list has an invalid address for the owner of the request",
+            );
         };
         address.set_port(self.port);
-        let mut ask = attohttpc::get(format!("http://{address}/explain/{id}"))
+        let mut query = attohttpc::get(format!("http://{address}/explain/{id}"))
             .timeout(OWNER_TIMEOUT)
-            .header(PASSED_ON, "1");
+            .header(FORWARDED_HEADER, "1");
         if let Some(value) = header(req, "authorization") {
-            ask = ask.header("authorization", value);
+            query = query.header("authorization", value);
         }
-        match ask.send() {
+        match query.send() {
             Ok(response) => {
                 let status = response.status().as_u16();
                 (status, response.text().unwrap_or_default())
             }
             Err(error) => {
-                let message = format!("{}, which owns it, does not answer: {error}", owner.host);
+                let message = format!(
+                    "query to {}, which owns the request, failed: {error}",
+                    owner.host
+                );
                 error_page(502, &message)
             }
         }
--- a/crates/jaypin/src/operator/mod.rs
+++ b/crates/jaypin/src/operator/mod.rs
@@ -1,6 +1,7 @@
-//! The operators' listener: status, explanations, metrics, health, drain.
+//! The operators' HTTP listener: status, explanations of requests, metrics, health, drain.
 //!
-//! It stands apart from the callers' address, and few use it, so `tiny_http` serves it.
+//! It has an address of its own, apart from the callers' one. It gets few requests, so the
+//! synchronous server `tiny_http` is sufficient.
 
 mod explain;
 mod token;
@@ -20,49 +21,50 @@
 use crate::metrics;
 use crate::snapshot::Snapshot;
 
-/// Threads that answer; one that waits for another host holds up no health check.
-const THREADS: usize = 3;
+/// Threads that serve requests. With several threads, one that waits for another host doesn't
+/// delay health checks.
+const SERVER_THREADS: usize = 3;
 
-/// Type of the text format that scrapers read.
-const METRICS_TYPE: &str = "text/plain; version=0.0.4";
-/// Path below which requests are explained.
-const EXPLAIN: &str = "/explain/";
+/// Content type of the Prometheus text format.
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
+/// Prefix of the paths that explain a request; the request's id follows.
+const EXPLAIN_PREFIX: &str = "/explain/";
 
-/// What the operators' listener shows and does.
+/// The state and channels that the operators' listener uses.
 #[derive(Debug, Clone)]
 pub struct Operator {
-    /// This host.
-    pub own: HostIdentity,
-    /// The reducer's state as it is shown.
+    /// Identity of this host.
+    pub identity: HostIdentity,
+    /// Receives copies of the reducer's state.
     pub snapshots: watch::Receiver<Arc<Snapshot>>,
-    /// Where orders go.
+    /// Sends events, such as the order to drain, to the reducer.
     pub events: Sender<Event>,
     /// Records of this host's requests.
     pub decisions: Arc<Decisions>,
-    /// Port of every host's operator listener.
+    /// Port of the operators' listener, the same on every host of the fleet.
     pub port: u16,
-    /// Digest of the operators' token; none asks for none.
+    /// SHA-256 of the operators' token; without one, no token is required.
     pub token_digest: Option<String>,
-    /// What went over the links.
+    /// Counters of the traffic on links.
     pub links: Arc<LinkCounters>,
 }
 
-/// An answer: status and JSON body.
+/// A response: status code and body, which is JSON except for metrics.
 type Page = (u16, String);
 
 impl Operator {
-    /// Serves in threads that end with the process.
+    /// Binds the listener and serves requests in threads that end with the process.
     pub fn spawn(self, address: SocketAddr) -> Result<(), String> {
         let server =
             Server::http(address).map_err(|error| format!("operator-listen {address}: {error}"))?;
         let server = Arc::new(server);
-        for _ in 0..THREADS {
+        for _ in 0..SERVER_THREADS {
             let (operator, server) = (self.clone(), server.clone());
             thread::Builder::new()
                 .name("operator".to_owned())
                 .spawn(move || {
                     for req in server.incoming_requests() {
-                        operator.answer(req);
+                        operator.respond(req);
                     }
                 })
                 .map_err(|error| error.to_string())?;
@@ -70,10 +72,10 @@
         Ok(())
     }
 
-    fn answer(&self, req: Request) {
+    fn respond(&self, req: Request) {
         let (status, body) = self.page(&req);
         let content_type = match (status, req.url()) {
-            (200, "/metrics") => METRICS_TYPE,
+            (200, "/metrics") => METRICS_CONTENT_TYPE,
             _ => "application/json",
         };
         let mut response = Response::from_string(body).with_status_code(status);
@@ -96,8 +98,8 @@
         match (req.method(), req.url()) {
             (Method::Get, "/metrics") => (200, metrics::render(&snapshot)),
             (Method::Get, "/status") => self.status(&snapshot),
-            (Method::Get, path) if path.starts_with(EXPLAIN) => {
-                self.explain(req, &path[EXPLAIN.len()..], &snapshot)
+            (Method::Get, path) if path.starts_with(EXPLAIN_PREFIX) => {
+                self.explain(req, &path[EXPLAIN_PREFIX.len()..], &snapshot)
             }
             (Method::Get, "/links") => {
                 let counts = self.links.counts();
@@ -119,7 +121,7 @@
         let shards = snapshot.shards.iter();
         let shards = shards.map(|it| ShardState::new(it, &snapshot.rules));
         let mut body = StatusBody::new(
-            &self.own,
+            &self.identity,
             &snapshot.summary,
             &snapshot.hosts,
             &snapshot.members,
@@ -140,7 +142,10 @@
     if summary.hosts_version == 0 {
         (503, "\"no host list yet\"".to_owned())
     } else if !summary.caught_up {
-        (503, "\"no peer heard yet, or no rules\"".to_owned())
+        (
+            503,
+            "\"rules and host list not confirmed to be current yet\"".to_owned(),
+        )
     } else if summary.rules_version == 0 {
         (503, "\"no rules yet\"".to_owned())
     } else if summary.draining {
--- a/crates/jaypin/src/operator/token.rs
+++ b/crates/jaypin/src/operator/token.rs
@@ -1,13 +1,14 @@
-//! The operators' bearer token.
+//! Check of the operators' bearer token.
 
 use jaypin_rules::digest_credential;
 use subtle::ConstantTimeEq;
 use tiny_http::Request;
 
-/// Whether a request may see and do what operators may.
+/// Returns whether a request is authorized to use the operators' listener.
 ///
-/// The digest of what was sent is compared in constant time, so timing tells nothing of
-/// the token. Without a digest in the settings everyone on the loopback may.
+/// The digest of the received token is compared in constant time, so that the response time
+/// reveals nothing about the expected one. Without a digest in the settings, every request is
+/// authorized; the settings then require a loopback address for the listener.
 pub fn is_allowed(req: &Request, digest: Option<&str>) -> bool {
     let Some(digest) = digest else {
         return true;
--- a/crates/jaypin/src/rules_change/mod.rs
+++ b/crates/jaypin/src/rules_change/mod.rs
@@ -1,21 +1,21 @@
-//! Changing the rules: a conditional write that is settled, and its audit trail.
+//! Changes of the rules: a conditional write whose outcome is confirmed, and the audit trail.
 //!
-//! The process that holds the file writes straight to the platform. No host stands in
-//! between whose death would leave the write open, and the first rules need no ready
-//! host.
+//! The operator's command writes directly to the platform. With a host in between, the outcome
+//! of a write would be unknown when that host crashes, and the first rules couldn't be written,
+//! since no host is ready without rules.
 
+mod audit_trail;
+mod confirmed_put;
 mod parts;
-mod settle;
 mod store;
-mod trail;
 
+pub use audit_trail::AuditTrail;
+pub use confirmed_put::Deadline;
 pub use parts::read_parts;
-pub use settle::Deadline;
 pub use store::{Applied, NewRules, RulesStore};
-pub use trail::Trail;
 
-/// Time now, in seconds since the Unix epoch.
+/// Returns the current time in seconds since the Unix epoch.
 pub fn unix_seconds() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0, |since| since.as_secs())
+    let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_secs())
 }
--- a/crates/jaypin/src/rules_change/store.rs
+++ b/crates/jaypin/src/rules_change/store.rs
@@ -5,36 +5,36 @@
 
 use jaypin_wire::{ChangeStatus, RulesChange, RulesObject};
 
+use super::confirmed_put::{ConfirmedPut, Deadline, put_confirmed};
 use super::parts::{read_parts, store_parts};
-use super::settle::{Deadline, Settled, put_settled};
 use crate::platform::{PlatformClient, RULES};
 
-/// How long an old copy of the rules is waited out.
-const STALE_PATIENCE: Duration = Duration::from_secs(3);
-/// Pause between two reads of an old copy.
-const STALE_PAUSE: Duration = Duration::from_millis(200);
-/// Largest rule file, in bytes; one of 17,000 accounts has 3 MB.
-const MAX_TEXT: usize = 8 << 20;
+/// Maximum time for which a read that returns an outdated version is repeated.
+const STALE_READ_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause before such a read is repeated.
+const STALE_READ_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum size of a rule file, in bytes; a file with 17,000 accounts has 3 MB.
+const MAX_TEXT_BYTES: usize = 8 << 20;
 
-/// Rules that are to be put in force.
+/// A new version of the rules that is to be written.
 #[derive(Debug, Clone)]
 pub struct NewRules {
-    /// The rule file.
+    /// Text of the rule file.
     pub text: String,
-    /// The version it was edited from.
+    /// Version on which the text is based.
     pub edited_from: u64,
-    /// Who applies it, for whom.
+    /// Record of the change: who applies it and who requested it.
     pub change: RulesChange,
 }
 
-/// What became of an apply.
+/// The outcome of writing new rules.
 #[derive(Debug)]
 pub enum Applied {
-    /// It is accepted, as this version.
+    /// The rules were accepted as this version.
     Accepted(u64),
-    /// It was accepted, and another change has followed since.
+    /// The rules were accepted, and another change has replaced them since; its version.
     Superseded(u64),
-    /// Another change came first; nothing was written.
+    /// Another change was accepted first, and nothing was written; its version and rules.
     LostRace(u64, Box<RulesObject>),
 }
 
@@ -45,12 +45,13 @@
 }
 
 impl<'a> RulesStore<'a> {
-    /// Stands on a client of the platform.
+    /// Creates a store that uses a client of the platform.
     pub fn new(client: &'a PlatformClient) -> Self {
         Self { client }
     }
 
-    /// Reads the rules with their version; version 0 and an empty file before the first.
+    /// Reads the rules and their version. Before the first rules are written, the version is 0 and
+    /// the text is empty.
     pub fn read(&self) -> Result<(u64, RulesObject), String> {
         let found = self.client.get::<RulesObject>(RULES)?;
         let (version, mut object) = found.unwrap_or_default();
@@ -58,38 +59,38 @@
         Ok((version, object))
     }
 
-    /// Reads the rules from a copy that is not older than a version.
+    /// Reads the rules at the given version or a newer one.
     ///
-    /// Guards against a platform that answers from an old copy for a while: the change
-    /// would be compared with rules that are in force no more.
-    pub fn read_since(&self, version: u64) -> Result<(u64, RulesObject), String> {
-        let patience = Deadline::after(STALE_PATIENCE);
+    /// The platform may read from an outdated replica for a while. Without this check, the
+    /// change would be compared with rules that are no longer in force.
+    pub fn read_at_least(&self, version: u64) -> Result<(u64, RulesObject), String> {
+        let deadline = Deadline::after(STALE_READ_TIMEOUT);
         loop {
             let (found, object) = self.read()?;
             if found >= version {
                 return Ok((found, object));
             }
-            if patience.is_over() {
+            if deadline.has_passed() {
                 return Err(format!(
-                    "the platform shows version {found}, version {version} is not there"
+                    "expected version {version} of the rules, but the platform has version {found}"
                 ));
             }
-            thread::sleep(STALE_PAUSE);
+            thread::sleep(STALE_READ_PAUSE);
         }
     }
 
-    /// Says whether a file is one that hosts can be asked to hold.
+    /// Checks that the text of a rule file isn't larger than hosts have to store.
     pub fn check_size(text: &str) -> Result<(), String> {
-        if text.len() > MAX_TEXT {
+        if text.len() > MAX_TEXT_BYTES {
             return Err(format!(
-                "the file has {} bytes, expected at most {MAX_TEXT}",
+                "the file has {} bytes, expected at most {MAX_TEXT_BYTES}",
                 text.len()
             ));
         }
         Ok(())
     }
 
-    /// Writes the rules if the version they were edited from is still in force.
+    /// Writes the rules if the version on which they are based is still in force.
     pub fn write(
         &self,
         before: &RulesObject,
@@ -99,20 +100,27 @@
         let mut object = before.with_change(new.text.clone(), new.change.clone());
         store_parts(self.client, &mut object, deadline)?;
         let id = &new.change.apply_id;
-        let is_ours = |found: &RulesObject| found.change_status(id) != ChangeStatus::Missing;
+        let is_own_write = |found: &RulesObject| found.change_status(id) != ChangeStatus::Missing;
         let expected = new.edited_from;
-        let settled = put_settled(self.client, RULES, expected, &object, deadline, is_ours)?;
+        let settled = put_confirmed(
+            self.client,
+            RULES,
+            expected,
+            &object,
+            deadline,
+            is_own_write,
+        )?;
         Ok(match settled {
-            Settled::Written(version) => self.in_force(id, version),
-            Settled::Conflict(version, mut found) => {
+            ConfirmedPut::Written(version) => self.accepted_or_superseded(id, version),
+            ConfirmedPut::Conflict(version, mut found) => {
                 read_parts(self.client, &mut found)?;
                 Applied::LostRace(version, Box::new(found))
             }
         })
     }
 
-    /// Tells an accepted change that was replaced meanwhile from the newest one.
-    fn in_force(&self, apply_id: &str, version: u64) -> Applied {
+    /// Reads the rules again to find out whether an accepted change was replaced meanwhile.
+    fn accepted_or_superseded(&self, apply_id: &str, version: u64) -> Applied {
         match self.client.get::<RulesObject>(RULES) {
             Ok(Some((newer, found)))
                 if found.change_status(apply_id) == ChangeStatus::Superseded =>
--- a/crates/jaypin/src/serve.rs
+++ b/crates/jaypin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Puts an entry host together and runs it until it is told to leave.
+//! Assembles an entry host from its components and runs it until it has shut down.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -21,24 +21,27 @@
 use crate::snapshot::Snapshot;
 use crate::{frontend, platform, reducer_task};
 
-/// Worker threads; an entry host is small.
-const WORKERS: usize = 2;
+/// Worker threads of the async runtime; an entry host is small and needs only a few.
+const WORKER_THREADS: usize = 2;
 
-/// Time without an event after which the reducer takes its process for paused: ticks
-/// come every 20 ms, and peers suspect a silent host a little later.
+/// Time between two events after which the reducer assumes that its process was paused.
+/// Ticks arrive every 20 ms, and peers suspect a silent host shortly after this time.
 const PAUSE_LIMIT: Duration = Duration::from_millis(500);
 
-/// Open files that a host asks for: a connection to a caller and one to a backend server
-/// for each stream, and room for silent callers.
-const OPEN_FILES: u64 = 16_384;
+/// Limit of open files that a host requests from the operating system. Each stream needs a
+/// connection to its caller and one to a backend server; idle callers need one each.
+const MAX_OPEN_FILES: u64 = 16_384;
 
-/// Runs a host to its end.
+/// Runs a host until it has shut down.
 pub fn run(settings: Settings) -> Result<(), String> {
-    if let Err(error) = rlimit::increase_nofile_limit(OPEN_FILES) {
-        log::warn!(error:%; "can't raise the limit of open files");
+    if let Err(error) = rlimit::increase_nofile_limit(MAX_OPEN_FILES) {
+        log::warn!(
+            error:%;
+            "failed to raise the limit of open files; continuing with the current limit"
+        );
     }
     let runtime = Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()
         .map_err(|error| error.to_string())?;
@@ -55,8 +58,8 @@
     let peers = TcpListener::bind(settings.link_listen)
         .await
         .map_err(|error| format!("link-listen {}: {error}", settings.link_listen))?;
-    let (events, inbox) = unbounded();
-    let (show, snapshots) = watch::channel(Arc::new(Snapshot::default()));
+    let (events, event_rx) = unbounded();
+    let (snapshot_tx, snapshots) = watch::channel(Arc::new(Snapshot::default()));
     let identity = Identity {
         host: host.clone(),
         incarnation,
@@ -77,12 +80,18 @@
         exit: exit.clone(),
     };
     let reducer = Reducer::new(config(&settings, &host, incarnation));
-    reducer_task::spawn(reducer, inbox, show, Handle::current(), move |fx| {
-        runner.run(fx);
-    })
+    reducer_task::spawn(
+        reducer,
+        event_rx,
+        snapshot_tx,
+        Handle::current(),
+        move |fx| {
+            runner.run(fx);
+        },
+    )
     .map_err(|error| error.to_string())?;
     Operator {
-        own: HostIdentity {
+        identity: HostIdentity {
             host: settings.host.clone(),
             incarnation,
             failure_domain: settings.failure_domain.clone(),
@@ -115,13 +124,14 @@
     );
     tokio::spawn(frontend.accept(callers));
     log::info!(host = settings.host, incarnation, listen:% = settings.listen; "serving");
-    until_told(&events, &exit).await?;
+    run_until_exit(&events, &exit).await?;
     log::info!(host = settings.host; "left");
     Ok(())
 }
 
-/// Waits for a signal, drains, and waits until nothing is left.
-async fn until_told(
+/// Waits for SIGTERM or SIGINT, starts the drain, and waits until it is complete. Returns
+/// without a signal when an operator's drain is complete.
+async fn run_until_exit(
     events: &crossbeam::channel::Sender<Event>,
     exit: &Notify,
 ) -> Result<(), String> {
@@ -157,10 +167,11 @@
     cfg
 }
 
-/// A number that grows with each run of a host: milliseconds since the Unix epoch.
+/// Returns a number that increases with each start of a host: milliseconds since the Unix
+/// epoch.
 fn incarnation() -> u64 {
-    let since = SystemTime::now()
+    let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/jaypin/src/settings/mod.rs
+++ b/crates/jaypin/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one host, in YAML, checked as a whole before anything starts.
+//! Settings of one host, read from a YAML file and checked completely before the host starts.
 
 mod reader;
 
@@ -12,44 +12,45 @@
 /// Settings of one host.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of the host, as in the host list.
+    /// Name of the host; the host list has the same name.
     pub host: String,
-    /// Failure domain it stands in.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Where callers connect.
+    /// Address on which the host listens for callers.
     pub listen: SocketAddr,
-    /// Where peers connect.
+    /// Address on which the host listens for links from peers.
     pub link_listen: SocketAddr,
-    /// Where operators and scrapers connect.
+    /// Address on which the host listens for operators and metrics scrapers.
     pub operator_listen: SocketAddr,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform: SocketAddr,
-    /// Key shared by the fleet's hosts; proves a peer on a link.
+    /// Secret key that all hosts of the fleet share; peers authenticate on links with it.
     pub fleet_key: String,
-    /// Link addresses of some peers, to learn rules and hosts from.
+    /// Link addresses of some peers, from which the host fetches rules and host list.
     pub peers: Vec<SocketAddr>,
-    /// How requests find a backend server.
+    /// Policy that selects a backend server for a request.
     pub policy: Policy,
-    /// Seed of random choices; the incarnation when absent.
+    /// Seed of the reducer's random numbers; the incarnation when absent.
     pub seed: Option<u64>,
-    /// Backend servers in one shard, at most.
+    /// Maximum number of backend servers in one shard; the default when absent.
     pub shard_size: Option<usize>,
-    /// SHA-256 of the operators' token, in lower-case hexadecimal digits.
+    /// SHA-256 of the operators' token, in lower-case hexadecimal digits; when absent, no
+    /// token is required.
     pub operator_token_digest: Option<String>,
-    /// Milliseconds between two load reports.
+    /// Milliseconds between two load reports; the default when absent.
     pub report_interval_ms: Option<u64>,
 }
 
 const ADDRESS: &str = "IP:PORT";
 const COUNT: &str = "a whole number";
 const DIGEST: &str = "a SHA-256 in 64 lower-case hexadecimal digits";
-/// Digits of a SHA-256 digest.
+/// Hexadecimal digits of a SHA-256 digest.
 const DIGEST_LEN: usize = 64;
-/// Shortest fleet key that is taken.
-const MIN_FLEET_KEY: usize = 16;
+/// Minimum length of a fleet key, in bytes.
+const MIN_FLEET_KEY_BYTES: usize = 16;
 
 impl Settings {
-    /// Reads and checks a settings file; the error has a line for every mistake.
+    /// Reads and checks a settings file. The error message has one line for every mistake.
     pub fn load(file: &Path) -> Result<Self, String> {
         let name = file.display();
         let text = std::fs::read_to_string(file).map_err(|error| format!("{name}: {error}"))?;
@@ -64,28 +65,28 @@
 
     fn parse(text: &str) -> Result<Self, Vec<(usize, String)>> {
         let mut reader = Reader::new(text).map_err(|mistake| vec![mistake])?;
-        let settings = Self::take(&mut reader);
+        let settings = Self::read(&mut reader);
         let mistakes = reader.finish();
         settings.filter(|_| mistakes.is_empty()).ok_or(mistakes)
     }
 
-    /// Takes every setting before it gives up, so that every mistake is named.
-    fn take(reader: &mut Reader) -> Option<Self> {
+    /// Reads every setting before it returns, so that every mistake is reported.
+    fn read(reader: &mut Reader) -> Option<Self> {
         let host = reader.required("host", "a name, as in the host list");
         let failure_domain = reader.required("failure-domain", "a name");
         let listen = reader.required("listen", ADDRESS);
         let link_listen = reader.required("link-listen", ADDRESS);
         let operator_listen = reader.required("operator-listen", ADDRESS);
         let platform = reader.required("platform", ADDRESS);
-        let fleet_key = take_fleet_key(reader);
+        let fleet_key = read_fleet_key(reader);
         let peers = reader.list("peers", ADDRESS);
-        let policy = take_policy(reader);
+        let policy = read_policy(reader);
         let seed = reader.optional("seed", COUNT);
-        let shard_size = take_above_zero(reader, "shard-size");
+        let shard_size = read_positive(reader, "shard-size");
         let operator_token_digest: Option<String> =
             reader.optional("operator-token-digest", DIGEST);
         check_operator_token(reader, operator_listen, operator_token_digest.as_deref());
-        let report_interval_ms = take_above_zero(reader, "report-interval-ms");
+        let report_interval_ms = read_positive(reader, "report-interval-ms");
         Some(Self {
             host: host?,
             failure_domain: failure_domain?,
@@ -104,58 +105,58 @@
     }
 }
 
-/// Who reaches the operators' listener may drain the host, so one that others reach asks
-/// for a token.
+/// Checks the digest of the operators' token. Anyone who can reach the operators' listener
+/// could drain the host, so a listener that isn't on a loopback address requires a token.
 fn check_operator_token(reader: &mut Reader, listen: Option<SocketAddr>, digest: Option<&str>) {
     let name = "operator-token-digest";
     match (digest, listen) {
-        (Some(digest), _) if !is_digest(digest) => {
-            reader.note(name, &format!("expected {DIGEST}"));
+        (Some(digest), _) if !is_sha256_hex(digest) => {
+            reader.report(name, &format!("expected {DIGEST}"));
         }
         (None, Some(listen)) if !listen.ip().is_loopback() && !reader.has(name) => {
             let message = format!("not a loopback address, so `{name}` is expected, {DIGEST}");
-            reader.note("operator-listen", &message);
+            reader.report("operator-listen", &message);
         }
         _ => {}
     }
 }
 
-/// Takes the fleet key; it is secret, so a wrong one is not shown.
-fn take_fleet_key(reader: &mut Reader) -> Option<String> {
+/// Reads the fleet key. An invalid key is not part of the error message, since it is secret.
+fn read_fleet_key(reader: &mut Reader) -> Option<String> {
     let key: String = reader.required("fleet-key", "a secret that all hosts share")?;
-    if key.len() < MIN_FLEET_KEY {
-        let message = format!("expected at least {MIN_FLEET_KEY} characters");
-        reader.note("fleet-key", &message);
+    if key.len() < MIN_FLEET_KEY_BYTES {
+        let message = format!("expected at least {MIN_FLEET_KEY_BYTES} characters");
+        reader.report("fleet-key", &message);
     }
     Some(key)
 }
 
-fn take_policy(reader: &mut Reader) -> Option<Policy> {
+fn read_policy(reader: &mut Reader) -> Option<Policy> {
     let expected = "`grants`, `baseline` or `local`";
-    let Some(word) = reader.optional::<String>("policy", expected) else {
+    let Some(text) = reader.optional::<String>("policy", expected) else {
         return Some(Policy::default());
     };
-    let policy = match word.as_str() {
+    let policy = match text.as_str() {
         "grants" => Some(Policy::Grants),
         "baseline" => Some(Policy::Baseline),
         "local" => Some(Policy::Local),
         _ => None,
     };
     if policy.is_none() {
-        reader.note("policy", &format!("found `{word}`, expected {expected}"));
+        reader.report("policy", &format!("found `{text}`, expected {expected}"));
     }
     policy
 }
 
-fn take_above_zero(reader: &mut Reader, name: &'static str) -> Option<u64> {
+fn read_positive(reader: &mut Reader, name: &'static str) -> Option<u64> {
     let value = reader.optional(name, COUNT)?;
     if value == 0 {
-        reader.note(name, "found 0, expected more");
+        reader.report(name, "found 0, expected more");
     }
     Some(value)
 }
 
-fn is_digest(text: &str) -> bool {
+fn is_sha256_hex(text: &str) -> bool {
     let is_digit = |c: char| matches!(c, '0'..='9' | 'a'..='f');
     text.len() == DIGEST_LEN && text.chars().all(is_digit)
 }
--- a/crates/jaypin/src/settings/reader.rs
+++ b/crates/jaypin/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Takes settings one by one, and notes every one that is wrong with its line.
+//! Reads settings one by one and collects the mistakes with their line numbers.
 
 use std::str::FromStr;
 
@@ -6,16 +6,19 @@
 use marked_yaml::types::{MarkedMappingNode, MarkedScalarNode};
 use marked_yaml::{LoadError, LoaderOptions, Marker, Node, Span, parse_yaml_with_options};
 
-/// The settings of a file that are not taken yet, and what is wrong so far.
+/// The settings of a file, the names that were read, and the mistakes found so far.
 #[derive(Debug)]
 pub struct Reader {
     mapping: MarkedMappingNode,
-    taken: Vec<&'static str>,
+    /// Names of the settings that the program knows; every other key is a mistake.
+    known: Vec<&'static str>,
+    /// Line numbers and messages.
     mistakes: Vec<(usize, String)>,
 }
 
 impl Reader {
-    /// Loads a file; one that is no YAML mapping has just that mistake.
+    /// Parses the text of a file. A text that isn't a YAML mapping with unique keys is rejected
+    /// with a single mistake, given by its line number and message.
     pub fn new(text: &str) -> Result<Self, (usize, String)> {
         let options = LoaderOptions::default().error_on_duplicate_keys(true);
         let node =
@@ -25,65 +28,66 @@
         };
         Ok(Self {
             mapping,
-            taken: Vec::new(),
+            known: Vec::new(),
             mistakes: Vec::new(),
         })
     }
 
-    /// Takes a setting that has to be there.
+    /// Reads a setting that must be present.
     pub fn required<T: FromStr>(&mut self, name: &'static str, expected: &str) -> Option<T> {
-        let is_there = self.mapping.get_node(name).is_some();
-        if !is_there {
+        let is_present = self.mapping.get_node(name).is_some();
+        if !is_present {
             self.mistakes
                 .push((1, format!("`{name}` is missing, expected {expected}")));
         }
         self.optional(name, expected)
     }
 
-    /// Takes a setting that may be absent.
+    /// Reads a setting that may be absent.
     pub fn optional<T: FromStr>(&mut self, name: &'static str, expected: &str) -> Option<T> {
-        self.taken.push(name);
+        self.known.push(name);
         let node = self.mapping.get_node(name)?;
         let text = node.as_scalar().map_or("", MarkedScalarNode::as_str);
         let value = value_of(node);
         if value.is_none() {
-            self.note(name, &format!("found `{text}`, expected {expected}"));
+            self.report(name, &format!("found `{text}`, expected {expected}"));
         }
         value
     }
 
-    /// Whether a setting is there, right or wrong.
+    /// Returns whether a setting is present, valid or not.
     pub fn has(&self, name: &str) -> bool {
         self.mapping.get_node(name).is_some()
     }
 
-    /// Takes a list; an absent one is empty.
+    /// Reads a list; an absent one is empty.
     pub fn list<T: FromStr>(&mut self, name: &'static str, expected: &str) -> Vec<T> {
-        self.taken.push(name);
+        self.known.push(name);
         let values = match self.mapping.get_node(name) {
             None => return Vec::new(),
             Some(Node::Sequence(list)) => list.iter().map(value_of).collect(),
             Some(_) => None,
         };
         if values.is_none() {
-            self.note(name, &format!("expected a list, {expected} each"));
+            self.report(name, &format!("expected a list, {expected} each"));
         }
         values.unwrap_or_default()
     }
 
-    /// Notes what is wrong with a setting; its value is not shown.
-    pub fn note(&mut self, name: &'static str, message: &str) {
+    /// Records a mistake in a setting. The setting's value is not added to the message, since
+    /// it may be secret.
+    pub fn report(&mut self, name: &'static str, message: &str) {
         let node = self.mapping.get_node(name);
         let line = node.map_or(1, |node| line_of(node.span()));
         self.mistakes.push((line, format!("`{name}`: {message}")));
     }
 
-    /// Gives every mistake, with those of settings that nobody took.
+    /// Returns all mistakes in the order of their lines, including the unknown settings.
     pub fn finish(mut self) -> Vec<(usize, String)> {
         for key in self.mapping.keys() {
             let name = key.as_str();
-            if !self.taken.contains(&name) {
-                let hint = name_hint(name, self.taken.iter().copied());
+            if !self.known.contains(&name) {
+                let hint = name_hint(name, self.known.iter().copied());
                 let message = format!("unknown setting `{name}`{hint}");
                 self.mistakes.push((line_of(key.span()), message));
             }
--- a/crates/jaypin/src/snapshot.rs
+++ b/crates/jaypin/src/snapshot.rs
@@ -1,29 +1,30 @@
-//! What the reducer shows to the rest of the process, replaced as a whole.
+//! The copy of the reducer's state that the rest of the process reads. The reducer's thread
+//! replaces it as a whole.
 
 use std::sync::Arc;
 
 use jaypin_core::{HostId, HostList, HostRecord, Member, ShardReport, Summary, SuspectCounts};
 use jaypin_rules::RuleSet;
 
-/// A view of the decision state after some event.
+/// The reducer's state after an event.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
-    /// Rules in force.
+    /// Current rules.
     pub rules: Arc<RuleSet>,
-    /// Their version.
+    /// Version of the rules; 0 before the first ones were read.
     pub rules_version: u64,
-    /// The host list in use.
+    /// Current host list.
     pub hosts: Arc<HostList>,
-    /// Entry hosts that take work.
+    /// Entry hosts that accept work.
     pub live_hosts: Arc<Vec<HostRecord>>,
-    /// What is believed of every host.
+    /// Membership state of every host, as this host knows it.
     pub members: Arc<[(HostId, Member)]>,
-    /// Number of the membership view that `live_hosts` is of.
+    /// Number of the membership view from which `live_hosts` was derived.
     pub epoch: u64,
-    /// Shards that this host leads, at most half a second old.
+    /// State of the shards that this host leads, at most half a second old.
     pub shards: Arc<Vec<ShardReport>>,
-    /// Contents under suspicion, at most half a second old.
+    /// Numbers of suspected and quarantined request contents, at most half a second old.
     pub suspects: SuspectCounts,
-    /// Counts.
+    /// Versions, counts and flags that are updated after every event.
     pub summary: Summary,
 }
