--- a/crates/jaypin/src/cli/audit.rs
+++ b/crates/jaypin/src/cli/audit.rs
@@ -3,21 +3,21 @@
 use jaypin_wire::{AuditEntry, AuditFault, AuditKind, digest_entry, verify_trail};
 use lexopt::Parser;
 
+use super::argument::Argument;
 use super::target::{TARGET_HELP, Target};
-use super::word::Word;
 use super::{Failure, Outcome, date, help, print_json, text_value};
 use crate::rules_change::{AuditTrail, RulesStore};
 
 const HELP: &str = "\
 usage: jaypin audit [--verify] [--expect DIGEST] [OPTIONS]
 
-Shows every change of the rules: who applied it, who asked for it, when, from which
-version, what changed and what became of it.
+Shows every change of the rules: who applied it, who asked for it, when, the version
+that was edited, the changed lines and the outcome.
 
-  --verify            only check that each entry follows from the one before, and that
-                      the last accepted changes are in the trail; exit 1 when not
-  --expect DIGEST     check also that an entry with this digest is there still; note the
-                      last digest outside the platform to find entries that were cut off
+  --verify            only check that each entry has the digest of the one before it and
+                      that the last accepted changes are in the trail; exit 1 if not
+  --expect DIGEST     also check that an entry with this digest still exists; keep the last
+                      digest outside of the platform to detect truncation of the trail
 ";
 
 /// Shows or verifies the audit trail.
@@ -25,13 +25,13 @@
     let mut target = Target::default();
     let mut verify_only = false;
     let mut expected = None;
-    while let Some(word) = Word::next(parser)? {
-        match word.option() {
+    while let Some(arg) = Argument::next(parser)? {
+        match arg.option() {
             "--help" => return help(&format!("{HELP}{TARGET_HELP}")),
             "--verify" => verify_only = true,
             "--expect" => expected = Some(text_value(parser)?),
-            _ if target.take(&word, parser)? => {}
-            _ => return Err(word.unexpected()),
+            _ if target.parse_option(&arg, parser)? => {}
+            _ => return Err(arg.unexpected()),
         }
     }
     let client = target.platform()?;
@@ -50,22 +50,25 @@
     report(&texts, &faults)
 }
 
+/// Returns a fault if no entry has the digest.
 fn missing_digest(texts: &[String], digest: &str) -> Option<AuditFault> {
-    let is_there = texts.iter().any(|text| digest_entry(text) == digest);
-    (!is_there).then(|| AuditFault {
+    let is_present = texts.iter().any(|text| digest_entry(text) == digest);
+    (!is_present).then(|| AuditFault {
         position: texts.len() as u64,
         message: format!("no entry has the expected digest {digest}"),
     })
 }
 
+/// Returns a fault if no entry belongs to the accepted change.
 fn missing_change(entries: &[AuditEntry], apply_id: &str) -> Option<AuditFault> {
-    let is_there = entries.iter().any(|entry| entry.apply_id == apply_id);
-    (!is_there).then(|| AuditFault {
+    let is_present = entries.iter().any(|entry| entry.apply_id == apply_id);
+    (!is_present).then(|| AuditFault {
         position: entries.len() as u64,
         message: format!("the accepted change {apply_id} is not in the trail"),
     })
 }
 
+/// Reports the faults as an error, or prints the number of entries and the last digest.
 fn report(texts: &[String], faults: &[AuditFault]) -> Outcome {
     if !faults.is_empty() {
         let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
@@ -95,7 +98,7 @@
             println!("    {line}");
         }
         if entry.omitted_lines > 0 {
-            println!("    and {} lines more", entry.omitted_lines);
+            println!("    and {} more lines", entry.omitted_lines);
         }
     }
     Ok(())
@@ -126,10 +129,10 @@
     )
 }
 
-/// Names the requesters of a change.
-pub fn asked_by(names: &[String]) -> String {
+/// Lists the requesters of a change.
+fn asked_by(names: &[String]) -> String {
     if names.is_empty() {
-        return "nobody that is named".to_owned();
+        return "an unnamed requester".to_owned();
     }
     names.join("; ")
 }
--- a/crates/jaypin/src/cli/drain.rs
+++ b/crates/jaypin/src/cli/drain.rs
@@ -8,7 +8,7 @@
 const HELP: &str = "\
 usage: jaypin drain [OPTIONS]
 
-Tells a host to refuse new work, finish what it has and end its process.
+Orders a host to refuse new requests, finish the running ones and exit.
 ";
 
 /// Drains a host.
--- a/crates/jaypin/src/cli/entry.rs
+++ b/crates/jaypin/src/cli/entry.rs
@@ -8,26 +8,26 @@
 use lexopt::Parser;
 use lexopt::ValueExt;
 
-use super::word::Word;
+use super::argument::Argument;
 use super::{Failure, Outcome, help, required, text_value};
 
 const HELP: &str = "\
 usage: jaypin entry --settings FILE [--metrics-port PORT]
 
-Runs an entry host on a platform that keeps configuration, credentials and backend
-servers, until it is told to leave (SIGTERM); it then finishes what it has. Logs go to
-standard output as JSON, one object a line; RUST_LOG filters them. With a port, metrics
-are served at /metrics on it; without one nothing is counted.";
+Runs an entry host on a platform that stores configuration, credentials and the list of
+backend servers, until it is shut down by SIGTERM; it finishes its requests first. Logs go
+to standard output as JSON, one object per line; RUST_LOG filters them. Metrics are served
+at /metrics on the given port; without a port, none are recorded.";
 
 /// Runs an entry host on a platform.
 pub fn run(parser: &mut Parser) -> Outcome {
     let (mut file, mut metrics_port) = (None, None);
-    while let Some(word) = Word::next(parser)? {
-        match word.option() {
+    while let Some(arg) = Argument::next(parser)? {
+        match arg.option() {
             "--help" => return help(HELP),
             "--settings" => file = Some(PathBuf::from(text_value(parser)?)),
             "--metrics-port" => metrics_port = Some(port_value(parser)?),
-            _ => return Err(word.unexpected()),
+            _ => return Err(arg.unexpected()),
         }
     }
     let options = ServeOptions {
--- a/crates/jaypin/src/cli/explain.rs
+++ b/crates/jaypin/src/cli/explain.rs
@@ -3,8 +3,8 @@
 use jaypin_wire::ExplainBody;
 use lexopt::Parser;
 
+use super::argument::Argument;
 use super::target::{TARGET_HELP, Target};
-use super::word::Word;
 use super::{Outcome, explain_log, help, load_summary, print_json, required, text_value};
 
 const HELP: &str = "\
@@ -12,26 +12,27 @@
        jaypin explain REQUEST_ID --log FILE
        jaypin explain --all --log FILE
 
-Says in plain sentences which rules applied to a request, which backend servers were
-weighed, why one was chosen, what came back, or why it was refused and whether it ran.
-Any host may be asked; it asks the host that owns the request. With --log, the log of an
-entry host is read instead, from a file or from standard input (-): for hosts that are gone.
-With --all, the log says who was asked, served and refused, by rank, account and second,
-on which grounds, and how many slots each rank held meanwhile. Logs of several hosts may be
-put together.
+Explains which rules applied to a request, which backend servers were candidates, why one
+was chosen and how the call ended, or why the request was refused and whether it ran. Any
+host can be queried; it forwards the query to the host that owns the request.
+
+With --log, the log of an entry host is read instead, from a file or from standard input
+(-), for example after the host has exited. With --all, the log is summarized: requests
+sent, served and refused, by rank, account and second, the reasons of the refusals, and the
+slots that each rank held. Logs of several hosts can be concatenated.
 ";
 
 /// Explains a request.
 pub fn run(parser: &mut Parser) -> Outcome {
     let mut target = Target::default();
     let (mut id, mut log, mut is_all) = (None, None, false);
-    while let Some(word) = Word::next(parser)? {
-        match word.option() {
+    while let Some(arg) = Argument::next(parser)? {
+        match arg.option() {
             "--help" => return help(&format!("{HELP}{TARGET_HELP}")),
             "--all" => is_all = true,
             "--log" => log = Some(text_value(parser)?),
-            _ if target.take(&word, parser)? => {}
-            _ => id = Some(word.place(id.as_ref())?),
+            _ if target.parse_option(&arg, parser)? => {}
+            _ => id = Some(arg.positional(id.as_ref())?),
         }
     }
     if is_all {
--- a/crates/jaypin/src/cli/explain_log.rs
+++ b/crates/jaypin/src/cli/explain_log.rs
@@ -1,4 +1,5 @@
-//! `jaypin explain --log`: sentences from the log of a host that is gone.
+//! `jaypin explain --log`: explains a request from the log of an entry host, which may have
+//! exited.
 
 use std::io::{self, BufRead};
 
@@ -6,7 +7,8 @@
 
 use super::{Failure, Outcome};
 
-/// A line of an entry host's log about one request.
+/// A log line of an entry host about a call or the end of a request; other fields of the line
+/// are ignored.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct RequestLine {
@@ -16,11 +18,11 @@
     backend: String,
     /// Milliseconds since the request arrived.
     ms: u64,
-    /// Milliseconds to its first event; 0 where none came.
+    /// Milliseconds from the arrival to the first event; 0 if there was none.
     first_ms: u64,
     /// Longest time between two events, in milliseconds.
     pause_ms: u64,
-    /// What the decision rested on.
+    /// Inputs of the decision.
     why: String,
 }
 
@@ -46,12 +48,13 @@
     }
 }
 
-/// Prints what a log says of a request, in order.
+/// Prints a sentence for each log line about a request, in the order of the log.
 pub fn print(id: &str, log: impl BufRead) -> Outcome {
     let mut found = 0;
     for line in log.lines() {
         let line = line.map_err(|error| Failure::Failed(error.to_string()))?;
-        // Other lines have other fields, and a log may be cut in the middle of one.
+        // Other lines may have fields of other types, and a log may be truncated in the middle of
+        // a line; such lines are skipped.
         let Ok(line) = serde_json::from_str::<RequestLine>(&line) else {
             continue;
         };
@@ -61,12 +64,14 @@
         }
     }
     if found == 0 {
-        return Err(Failure::Failed(format!("the log says nothing of {id}")));
+        return Err(Failure::Failed(format!(
+            "the log has no line about request {id}"
+        )));
     }
     Ok(())
 }
 
-/// Opens a log: a file, or standard input for `-`.
+/// Opens a log file, or standard input for `-`.
 pub fn open(name: &str) -> Result<Box<dyn BufRead>, Failure> {
     if name == "-" {
         return Ok(Box::new(io::stdin().lock()));
--- a/crates/jaypin/src/cli/load_summary.rs
+++ b/crates/jaypin/src/cli/load_summary.rs
@@ -1,7 +1,7 @@
-//! `jaypin explain --all --log`: who was asked, served and refused, second by second.
+//! `jaypin explain --all --log`: requests sent, served and refused, by rank, account and second.
 //!
-//! A single refusal says what it rested on. Whether the fleet refused the right ones shows
-//! only beside what it served in the same second.
+//! The log line of a refusal has the inputs of that decision. Whether the fleet refused the
+//! right requests is only visible in comparison with those that it served in the same second.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -12,7 +12,7 @@
 
 use super::{Failure, Outcome};
 
-/// A line of an entry host's log about the end of a call or of a request.
+/// A log line of an entry host about the end of a call or of a request.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct CallLine {
@@ -21,33 +21,37 @@
     outcome: String,
     backend: String,
     account: String,
-    /// Ranks of account and route; empty for requests that were refused before they had one.
+    /// Ranks of account and route; empty for a request that was refused before its rank was
+    /// determined.
     rank: String,
     /// Milliseconds since the request arrived.
     ms: u64,
+    /// Inputs of the decision.
     why: String,
 }
 
-/// What became of requests.
+/// Numbers of requests and calls by their outcome.
 #[derive(Debug, Default, Clone)]
 struct Tally {
+    /// Calls to backend servers.
     sent: u32,
     served: u32,
     refused: u32,
-    /// Requests that were refused after more than a few milliseconds.
+    /// Requests that were refused after a wait of at least `MIN_WAIT_MS`.
     waited: u32,
-    /// Seconds for which calls held their slots.
-    held: f64,
-    /// Refusals and failures by what they rested on.
-    grounds: BTreeMap<String, u32>,
+    /// Total time for which calls held their slots, in seconds.
+    hold_seconds: f64,
+    /// Numbers of refusals and failures by their reason.
+    reasons: BTreeMap<String, u32>,
 }
 
-/// Milliseconds from which a refused request is taken as one that waited.
-const WAITED_MS: u64 = 10;
-/// Accounts that are listed: those that were refused most.
-const ACCOUNTS_LISTED: usize = 10;
+/// Time from arrival to refusal, in milliseconds, from which a request counts as one that
+/// waited.
+const MIN_WAIT_MS: u64 = 10;
+/// Maximum number of accounts in the output, which lists those with the most refusals.
+const MAX_LISTED_ACCOUNTS: usize = 10;
 
-/// All that a log says of requests.
+/// All requests of a log.
 #[derive(Debug, Default)]
 struct Summary {
     ranks: BTreeMap<String, Tally>,
@@ -57,20 +61,21 @@
 }
 
 impl Tally {
-    fn take(&mut self, line: &CallLine) {
+    fn add(&mut self, line: &CallLine) {
         let was_sent = !line.backend.is_empty();
         self.sent += u32::from(was_sent);
         if line.outcome == "complete" {
             self.served += 1;
         } else if !was_sent {
             self.refused += 1;
-            self.waited += u32::from(line.ms >= WAITED_MS);
+            self.waited += u32::from(line.ms >= MIN_WAIT_MS);
         }
         if line.outcome != "complete" {
-            *self.grounds.entry(line.ground()).or_default() += 1;
+            *self.reasons.entry(line.reason()).or_default() += 1;
         }
     }
 
+    /// Formats a row of a table, without its first column.
     fn row(&self) -> String {
         let Self {
             sent,
@@ -79,31 +84,35 @@
             waited,
             ..
         } = self;
-        let mut grounds: Vec<_> = self.grounds.iter().collect();
-        grounds.sort_by_key(|(_, count)| std::cmp::Reverse(**count));
+        let mut reasons: Vec<_> = self.reasons.iter().collect();
+        reasons.sort_by_key(|(_, count)| std::cmp::Reverse(**count));
         let mut row = format!("{sent:>6} {served:>7} {refused:>8} {waited:>7}  ");
-        for (ground, count) in grounds {
-            let _ = write!(row, " {ground} {count};");
+        for (reason, count) in reasons {
+            let _ = write!(row, " {reason} {count};");
         }
         row
     }
 }
 
 impl CallLine {
-    /// A line of a log; a collector may have put words before it.
-    fn read(text: &str) -> Option<Self> {
+    /// Parses a line of a log; returns `None` if it isn't about a request. A log collector may
+    /// have added a prefix to the JSON object.
+    fn parse(text: &str) -> Option<Self> {
         let start = text.find('{')?;
         let line: Self = serde_json::from_str(&text[start..]).ok()?;
         (line.msg == "request").then_some(line)
     }
 
-    fn ground(&self) -> String {
+    /// Returns the outcome; a refusal because of slots that are reserved for more urgent requests
+    /// is marked as `(kept)`.
+    fn reason(&self) -> String {
         if self.why.contains("kept for more urgent") {
             return format!("{} (kept)", self.outcome);
         }
         self.outcome.clone()
     }
 
+    /// Returns the time of the line in seconds since the Unix epoch.
     fn end(&self) -> Option<f64> {
         let time: Timestamp = self.time.parse().ok()?;
         #[expect(
@@ -115,39 +124,40 @@
 }
 
 impl Summary {
-    fn take(&mut self, line: &CallLine) {
+    fn add(&mut self, line: &CallLine) {
         let rank = if line.rank.is_empty() {
             "-"
         } else {
             &line.rank
         };
         let of_rank = self.ranks.entry(rank.to_owned()).or_default();
-        of_rank.take(line);
+        of_rank.add(line);
         if !line.account.is_empty() {
             let of_account = self.accounts.entry(line.account.clone());
-            of_account.or_default().take(line);
+            of_account.or_default().add(line);
         }
         let Some(end) = line.end() else {
             return;
         };
-        self.tally(end, rank).take(line);
+        self.tally_at(end, rank).add(line);
         if !line.backend.is_empty() {
-            self.hold(rank, end, line.ms);
+            self.add_hold_time(rank, end, line.ms);
         }
     }
 
-    /// Shares the time for which a call held its slot out over the seconds it lasted.
-    fn hold(&mut self, rank: &str, end: f64, ms: u64) {
+    /// Adds the time for which a call held its slot to the seconds in which it ran.
+    fn add_hold_time(&mut self, rank: &str, end: f64, ms: u64) {
         let ms = u32::try_from(ms).unwrap_or(u32::MAX);
         let mut from = end - f64::from(ms) / 1_000.0;
         while from < end {
             let until = (from.floor() + 1.0).min(end);
-            self.tally(from, rank).held += until - from;
+            self.tally_at(from, rank).hold_seconds += until - from;
             from = until;
         }
     }
 
-    fn tally(&mut self, at: f64, rank: &str) -> &mut Tally {
+    /// Returns the tally of a rank in the second of the given time.
+    fn tally_at(&mut self, at: f64, rank: &str) -> &mut Tally {
         #[expect(
             clippy::cast_possible_truncation,
             reason = "seconds since the epoch fit"
@@ -157,6 +167,7 @@
         of_second.entry(rank.to_owned()).or_default()
     }
 
+    /// Formats the tables.
     fn text(&self) -> String {
         let mut text = String::new();
         let head = "  sent  served  refused  waited   not served by";
@@ -167,7 +178,7 @@
         let _ = writeln!(text, "\n{:<10}{head}", "account");
         let mut accounts: Vec<_> = self.accounts.iter().collect();
         accounts.sort_by_key(|(_, tally)| std::cmp::Reverse(tally.refused));
-        for (account, tally) in accounts.into_iter().take(ACCOUNTS_LISTED) {
+        for (account, tally) in accounts.into_iter().take(MAX_LISTED_ACCOUNTS) {
             let _ = writeln!(text, "{account:<10}{}", tally.row());
         }
         let start = self.seconds.keys().next().copied().unwrap_or_default();
@@ -178,10 +189,10 @@
                 let Tally {
                     served,
                     refused,
-                    held,
+                    hold_seconds,
                     ..
                 } = it;
-                let _ = write!(text, "  {rank} {served}/{refused} {held:.1}");
+                let _ = write!(text, "  {rank} {served}/{refused} {hold_seconds:.1}");
             }
             let _ = writeln!(text);
         }
@@ -189,18 +200,18 @@
     }
 }
 
-/// Prints what a log, or the logs of several hosts together, say of all requests.
+/// Prints the summary of all requests in a log, or in the concatenated logs of several hosts.
 pub fn print(log: impl BufRead) -> Outcome {
     let mut summary = Summary::default();
     for line in log.lines() {
         let line = line.map_err(|error| Failure::Failed(error.to_string()))?;
-        if let Some(line) = CallLine::read(&line) {
-            summary.take(&line);
+        if let Some(line) = CallLine::parse(&line) {
+            summary.add(&line);
         }
     }
     if summary.ranks.is_empty() {
         return Err(Failure::Failed(
-            "the log says nothing of requests".to_owned(),
+            "the log has no line about a request".to_owned(),
         ));
     }
     print!("{}", summary.text());
--- a/crates/jaypin/src/cli/mod.rs
+++ b/crates/jaypin/src/cli/mod.rs
@@ -1,5 +1,6 @@
-//! The command line: what operators type, one file a subcommand.
+//! The command line: argument parsing, help texts and one module for each subcommand.
 
+mod argument;
 mod audit;
 mod drain;
 mod entry;
@@ -11,7 +12,6 @@
 mod settings;
 mod status;
 mod target;
-mod word;
 
 use std::ffi::OsString;
 use std::io::Write;
@@ -19,10 +19,10 @@
 use lexopt::Parser;
 use lexopt::prelude::*;
 
-use word::Word;
+use argument::Argument;
 
 const HELP: &str = "\
-jaypin, a request scheduler for unlike engines
+jaypin, a request scheduler for heterogeneous inference engines
 
 usage: jaypin COMMAND ...
 
@@ -31,19 +31,19 @@
   settings check  check a settings file
   rules           check, diff, apply, show, log, who: the rule file
   audit           show and verify the audit trail of rule changes
-  status          show what a host knows of itself and the fleet
-  explain         say why a request was decided as it was
-  drain           let a host finish what it has and leave
+  status          show the state of a host and the fleet as the host knows it
+  explain         explain how a request was scheduled or why it was refused
+  drain           let a host finish its requests and shut down
 
-`jaypin COMMAND --help` says more. `--version` names the release.
-exit codes: 0 done, 1 failed while running, 2 wrong command line, settings or rules";
+`jaypin COMMAND --help` describes a command. `--version` prints the release.
+exit codes: 0 success, 1 failed while running, 2 invalid command line, settings or rules";
 
-/// Why a command did not succeed.
+/// The reason why a command failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// What it was given is wrong.
+    /// The command line, the settings or the rules are invalid.
     Usage(String),
-    /// It failed while running.
+    /// The command failed while running.
     Failed(String),
 }
 
@@ -53,24 +53,24 @@
     }
 }
 
-/// What a command gives.
+/// The result of a command.
 pub type Outcome = Result<(), Failure>;
 
-/// Runs the command that the arguments name.
+/// Runs the command given by the arguments.
 pub fn run(args: impl IntoIterator<Item = OsString>) -> Outcome {
     let mut parser = Parser::from_args(args);
-    let Some(word) = Word::next(&mut parser)? else {
+    let Some(arg) = Argument::next(&mut parser)? else {
         return help(HELP);
     };
-    match word.option() {
+    match arg.option() {
         "--help" => help(HELP),
         "--version" => help(concat!("jaypin ", env!("CARGO_PKG_VERSION"))),
-        _ => dispatch(&word.place::<()>(None)?, &mut parser),
+        _ => dispatch(&arg.positional::<()>(None)?, &mut parser),
     }
 }
 
-fn dispatch(word: &str, parser: &mut Parser) -> Outcome {
-    match word {
+fn dispatch(command: &str, parser: &mut Parser) -> Outcome {
+    match command {
         "serve" => serve::run(parser),
         "entry" => entry::run(parser),
         "settings" => settings::run(parser),
@@ -85,11 +85,13 @@
     }
 }
 
+/// Prints a help text to standard output.
 fn help(text: &str) -> Outcome {
     let written = writeln!(std::io::stdout(), "{text}");
     written.map_err(|error| Failure::Failed(error.to_string()))
 }
 
+/// Returns the value of an argument, or an error that names the missing argument.
 fn required<T>(value: Option<T>, name: &str) -> Result<T, Failure> {
     value.ok_or_else(|| Failure::Usage(format!("{name} is missing")))
 }
@@ -102,14 +104,14 @@
     Ok(parser.value()?.parse()?)
 }
 
-/// Writes a time, given in seconds since the Unix epoch, as RFC 3339.
+/// Formats a time, given in seconds since the Unix epoch, as RFC 3339.
 fn date(seconds: u64) -> String {
     let seconds = i64::try_from(seconds).unwrap_or(i64::MAX);
     let time = jiff::Timestamp::from_second(seconds);
     time.map_or_else(|_| format!("{seconds} s"), |time| time.to_string())
 }
 
-/// Prints a value as JSON for programs.
+/// Prints a value as JSON.
 fn print_json(value: &impl serde::Serialize) -> Outcome {
     let text = serde_json::to_string_pretty(value);
     println!(
--- a/crates/jaypin/src/cli/rules/apply.rs
+++ b/crates/jaypin/src/cli/rules/apply.rs
@@ -10,8 +10,8 @@
 
 use super::wait::wait_in_force;
 use super::{Failure, Outcome, help, list, read_file, required};
+use crate::cli::argument::Argument;
 use crate::cli::target::{TARGET_HELP, Target};
-use crate::cli::word::Word;
 use crate::cli::{number_value, text_value};
 use crate::platform::PlatformClient;
 use crate::rules_change::{Applied, AuditTrail, Deadline, NewRules, RulesStore, unix_seconds};
@@ -19,23 +19,23 @@
 const HELP: &str = "\
 usage: jaypin rules apply FILE --edited-from VERSION --author NAME [OPTIONS]
 
-Puts a rule file in force on every host. Nothing changes when the file has a mistake or
-when another version than VERSION is in force; the difference to that one is shown then.
+Puts a rule file in force on every host. Nothing is changed if the file has a mistake or if
+a version other than VERSION is in force; in this case the difference to it is shown.
 
-  --edited-from VERSION  the version that `jaypin rules show` gave; 0 for the first file
+  --edited-from VERSION  the version that `jaypin rules show` printed; 0 for the first file
   --author NAME          who applies it
-  --asked-by WHO         who asked for the change; the requesters of the added rules when
-                         absent, and needed when no rule is added
+  --asked-by WHO         who asked for the change; by default the requesters of the added
+                         rules; required if the change adds no rule
   --timeout SECONDS      how long to wait for the platform and for every host, 30 by
                          default; exit 1 names the hosts that don't report the version
 ";
 
-/// How long to wait when nothing else is said.
+/// Default of `--timeout`, in seconds.
 const DEFAULT_TIMEOUT_S: u64 = 30;
-/// Requesters that a change names.
+/// Maximum number of requesters that are stored with a change.
 const MAX_REQUESTERS: usize = 20;
 
-/// What the command line says.
+/// The arguments of the command.
 #[derive(Debug, Default)]
 struct Args {
     file: PathBuf,
@@ -54,21 +54,22 @@
     }
 }
 
+/// Parses the arguments; returns `None` for `--help`.
 fn read_args(parser: &mut Parser) -> Result<Option<Args>, Failure> {
     let (mut file, mut edited_from, mut author) = (None, None, None);
     let mut args = Args {
         timeout: Duration::from_secs(DEFAULT_TIMEOUT_S),
         ..Args::default()
     };
-    while let Some(word) = Word::next(parser)? {
-        match word.option() {
+    while let Some(arg) = Argument::next(parser)? {
+        match arg.option() {
             "--help" => return Ok(None),
             "--edited-from" => edited_from = Some(number_value(parser)?),
             "--author" => author = Some(text_value(parser)?),
             "--asked-by" => args.asked_by = Some(text_value(parser)?),
             "--timeout" => args.timeout = Duration::from_secs(number_value(parser)?),
-            _ if args.target.take(&word, parser)? => {}
-            _ => file = Some(PathBuf::from(word.place(file.as_ref())?)),
+            _ if args.target.parse_option(&arg, parser)? => {}
+            _ => file = Some(PathBuf::from(arg.positional(file.as_ref())?)),
         }
     }
     args.file = required(file, "FILE")?;
@@ -93,18 +94,18 @@
         entry: first_entry(args, &text, &changes),
     };
     if let Err(mistakes) = jaypin_rules::parse(&text) {
-        return apply.refuse(list(&args.file, &mistakes));
+        return apply.reject(list(&args.file, &mistakes));
     }
     if apply.entry.requesters.is_empty() {
         let message = "the change adds no rule: say who asked for it with --asked-by WHO";
-        return apply.refuse(message.to_owned());
+        return apply.reject(message.to_owned());
     }
     if found_version > args.edited_from {
-        return apply.lose(found_version, &before);
+        return apply.fail_lost_race(found_version, &before);
     }
     let change = change(&apply.entry, &changes);
     if let Err(message) = RulesStore::check_size(&text) {
-        return apply.refuse(message);
+        return apply.reject(message);
     }
     apply.record(AuditKind::Proposed, None)?;
     apply.entry.difference.clear();
@@ -116,12 +117,13 @@
     apply.write(&before, &new)
 }
 
-/// One apply on its way.
+/// The state of one run of the command.
 #[derive(Debug)]
 struct Apply<'a> {
     args: &'a Args,
     client: &'a PlatformClient,
     deadline: Deadline,
+    /// Audit entry of this run; `record` sets kind, version and time before appending it.
     entry: AuditEntry,
 }
 
@@ -130,23 +132,24 @@
         let store = RulesStore::new(self.client);
         let applied = store.write(before, new, self.deadline).map_err(|error| {
             Failure::Failed(format!(
-                "{error}; whether apply {} took effect is not known: `jaypin rules log` names \
-                 it when it did",
+                "{error}; it is not known whether apply {} took effect: `jaypin rules log` \
+                 lists it if it did",
                 self.entry.apply_id
             ))
         })?;
         match applied {
-            Applied::Accepted(version) => self.accepted(version),
+            Applied::Accepted(version) => self.finish(version),
             Applied::Superseded(newer) => {
                 self.record(AuditKind::Accepted, None)?;
-                println!("accepted, and replaced by version {newer} meanwhile");
+                println!("accepted, and meanwhile replaced by version {newer}");
                 Ok(())
             }
-            Applied::LostRace(version, found) => self.lose(version, &found),
+            Applied::LostRace(version, found) => self.fail_lost_race(version, &found),
         }
     }
 
-    fn accepted(&mut self, version: u64) -> Outcome {
+    /// Records that the rules were accepted, and waits until they are in force on every host.
+    fn finish(&mut self, version: u64) -> Outcome {
         println!("version {version} is accepted");
         self.record(AuditKind::Accepted, Some(version))?;
         let port = self.args.target.operator_port()?;
@@ -155,18 +158,24 @@
         Ok(())
     }
 
-    fn refuse(&mut self, message: String) -> Outcome {
+    /// Records that the rules were rejected, and returns the reason as an error. The message is
+    /// also stored in the audit trail.
+    fn reject(&mut self, message: String) -> Outcome {
         self.entry.note = Some(message.clone());
         self.record(AuditKind::Refused, None)?;
         Err(Failure::Usage(message))
     }
 
-    /// The loser of a race sees who changed what since the version it edited.
-    fn lose(&mut self, version: u64, found: &RulesObject) -> Outcome {
+    /// Records that another change was accepted first. The error message shows who changed what
+    /// since the version that was edited.
+    fn fail_lost_race(&mut self, version: u64, found: &RulesObject) -> Outcome {
         self.record(AuditKind::LostRace, Some(version))?;
-        Err(Failure::Failed(lost_race(self.args, version, found)))
+        Err(Failure::Failed(lost_race_message(
+            self.args, version, found,
+        )))
     }
 
+    /// Appends an entry of the given kind to the audit trail.
     fn record(&mut self, kind: AuditKind, new_version: Option<u64>) -> Outcome {
         self.entry.kind = kind;
         self.entry.new_version = new_version;
@@ -176,6 +185,7 @@
     }
 }
 
+/// Creates the first audit entry of this run, with the redacted difference.
 fn first_entry(args: &Args, text: &str, changes: &[LineChange]) -> AuditEntry {
     AuditEntry {
         number: 0,
@@ -194,6 +204,7 @@
     }
 }
 
+/// Returns the requesters that an option or the added rules name.
 fn requesters(args: &Args, changes: &[LineChange]) -> Vec<String> {
     if let Some(name) = &args.asked_by {
         return vec![name.clone()];
@@ -202,11 +213,12 @@
         LineChange::Added { text, .. } => requester_of(text),
         LineChange::Removed { .. } => None,
     });
-    shorten(added.collect())
+    limit_names(added.collect())
 }
 
-/// Keeps the list short enough for the rules object; the difference names the others.
-fn shorten(names: BTreeSet<String>) -> Vec<String> {
+/// Limits the number of names, since they are stored in the rules object. The difference in the
+/// audit entry names the others.
+fn limit_names(names: BTreeSet<String>) -> Vec<String> {
     let more = names.len().saturating_sub(MAX_REQUESTERS);
     let mut kept: Vec<String> = names.into_iter().take(MAX_REQUESTERS).collect();
     if more > 0 {
@@ -233,10 +245,10 @@
     }
 }
 
-fn lost_race(args: &Args, version: u64, found: &RulesObject) -> String {
+fn lost_race_message(args: &Args, version: u64, found: &RulesObject) -> String {
     let mut lines = vec![format!(
         "edited from version {}, but version {version} is in force; nothing was changed and \
-         {} is kept as it is",
+         {} was left as it is",
         args.edited_from,
         Path::display(&args.file)
     )];
@@ -254,7 +266,7 @@
             change.removed
         ));
     }
-    lines.push(format!("what your file would change in version {version}:"));
+    lines.push(format!("changes of your file to version {version}:"));
     if let Ok(own) = read_file(&args.file) {
         let changes = difference(&found.text, &own);
         lines.extend(changes.iter().map(|change| format!("  {change}")));
--- a/crates/jaypin/src/cli/rules/check.rs
+++ b/crates/jaypin/src/cli/rules/check.rs
@@ -6,15 +6,15 @@
 use serde::Serialize;
 
 use super::{Failure, Outcome, help, list, read_file, required};
+use crate::cli::argument::Argument;
 use crate::cli::print_json;
-use crate::cli::word::Word;
 
 const HELP: &str = "\
 usage: jaypin rules check FILE [--json]
 
-Names every mistake with its line and column; exit 2 when there is one.";
+Lists every mistake with its line and column; exit 2 if there is one.";
 
-/// One mistake, for programs.
+/// A mistake in the JSON output.
 #[derive(Debug, Serialize)]
 struct MistakeBody {
     line: u32,
@@ -26,11 +26,11 @@
 pub fn run(parser: &mut Parser) -> Outcome {
     let mut file = None;
     let mut json = false;
-    while let Some(word) = Word::next(parser)? {
-        match word.option() {
+    while let Some(arg) = Argument::next(parser)? {
+        match arg.option() {
             "--help" => return help(HELP),
             "--json" => json = true,
-            _ => file = Some(PathBuf::from(word.place(file.as_ref())?)),
+            _ => file = Some(PathBuf::from(arg.positional(file.as_ref())?)),
         }
     }
     let file = required(file, "FILE")?;
--- a/crates/jaypin/src/cli/rules/diff.rs
+++ b/crates/jaypin/src/cli/rules/diff.rs
@@ -6,9 +6,9 @@
 use lexopt::Parser;
 
 use super::{Failure, Outcome, help, read_file, required};
+use crate::cli::argument::Argument;
 use crate::cli::print_json;
 use crate::cli::target::{TARGET_HELP, Target};
-use crate::cli::word::Word;
 use crate::rules_change::RulesStore;
 
 const HELP: &str = "\
@@ -17,15 +17,15 @@
 Lists the lines that FILE removes from (-) and adds to (+) the rules in force, or OTHER.
 ";
 
-/// Compares a rule file.
+/// Compares a rule file with the rules in force or with another file.
 pub fn run(parser: &mut Parser) -> Outcome {
     let mut target = Target::default();
     let mut files = Vec::new();
-    while let Some(word) = Word::next(parser)? {
-        match word.option() {
+    while let Some(arg) = Argument::next(parser)? {
+        match arg.option() {
             "--help" => return help(&format!("{HELP}{TARGET_HELP}")),
-            _ if target.take(&word, parser)? => {}
-            _ => files.push(PathBuf::from(word.place(files.get(1))?)),
+            _ if target.parse_option(&arg, parser)? => {}
+            _ => files.push(PathBuf::from(arg.positional(files.get(1))?)),
         }
     }
     let new = read_file(required(files.first(), "FILE")?)?;
--- a/crates/jaypin/src/cli/rules/log.rs
+++ b/crates/jaypin/src/cli/rules/log.rs
@@ -10,10 +10,10 @@
 const HELP: &str = "\
 usage: jaypin rules log [OPTIONS]
 
-Lists the last accepted changes, newest last; `jaypin audit` shows all.
+Lists the last accepted changes, the newest one last; `jaypin audit` shows all changes.
 ";
 
-/// Lists the last changes.
+/// Lists the last accepted changes.
 pub fn run(parser: &mut Parser) -> Outcome {
     let Some(target) = Target::read(parser, HELP)? else {
         return Ok(());
--- a/crates/jaypin/src/cli/rules/mod.rs
+++ b/crates/jaypin/src/cli/rules/mod.rs
@@ -1,4 +1,4 @@
-//! `jaypin rules`: the rule file.
+//! `jaypin rules`: commands on the rule file.
 
 mod apply;
 mod check;
@@ -14,26 +14,26 @@
 use lexopt::Parser;
 
 use super::{Failure, Outcome, help, required};
-use crate::cli::word::Word;
+use crate::cli::argument::Argument;
 
 const HELP: &str = "\
 usage: jaypin rules COMMAND ...
 
-  check FILE         name every mistake of a rule file
-  diff FILE [OTHER]  what a file would change in the rules in force, or in another file
+  check FILE         list every mistake in a rule file
+  diff FILE [OTHER]  compare a file with the rules in force, or with another file
   apply FILE         put a file in force on every host
   show               print the rules in force
   log                list the last changes
-  who LINE [FILE]    say who asked for the rule in a line
+  who LINE [FILE]    show who asked for the rule in a line
 
-`jaypin rules COMMAND --help` says more.";
+`jaypin rules COMMAND --help` describes a command.";
 
 /// Runs a command on rules.
 pub fn run(parser: &mut Parser) -> Outcome {
-    let command = match Word::next(parser)? {
+    let command = match Argument::next(parser)? {
         None => return Err(Failure::Usage(HELP.to_owned())),
-        Some(word) if word.option() == "--help" => return help(HELP),
-        Some(word) => word.place::<()>(None)?,
+        Some(arg) if arg.option() == "--help" => return help(HELP),
+        Some(arg) => arg.positional::<()>(None)?,
     };
     match command.as_str() {
         "check" => check::run(parser),
@@ -57,6 +57,7 @@
     jaypin_rules::parse(text).map_err(|mistakes| Failure::Usage(list(file, &mistakes)))
 }
 
+/// Formats mistakes, one per line. The text is also stored in the audit trail.
 fn list(file: &Path, mistakes: &[Mistake]) -> String {
     let lines: Vec<String> = mistakes
         .iter()
--- a/crates/jaypin/src/cli/rules/show.rs
+++ b/crates/jaypin/src/cli/rules/show.rs
@@ -10,8 +10,9 @@
 const HELP: &str = "\
 usage: jaypin rules show [OPTIONS]
 
-Prints the rules in force as they were written, and their version to standard error:
-`jaypin rules show > rules.yaml` gives the file to edit, and the version to edit from.
+Prints the text of the rules in force, and their version to standard error.
+`jaypin rules show > rules.yaml` writes a file to edit; `jaypin rules apply` takes the
+version as --edited-from.
 ";
 
 /// Shows the rules in force.
--- a/crates/jaypin/src/cli/rules/wait.rs
+++ b/crates/jaypin/src/cli/rules/wait.rs
@@ -1,4 +1,4 @@
-//! Waits until every live host has a version of the rules in force.
+//! Waits until a version of the rules is in force on every live host.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -11,14 +11,15 @@
 use crate::platform::{HOSTS, PlatformClient};
 use crate::rules_change::Deadline;
 
-/// Time for one host to answer.
+/// Timeout of a status query to one host.
 const HOST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between two rounds over the hosts.
+/// Pause between two rounds of queries to all hosts.
 const ROUND_PAUSE: Duration = Duration::from_millis(200);
-/// Hosts that are asked at once.
-const ASKED_AT_ONCE: usize = 16;
+/// Maximum number of hosts that are queried in parallel.
+const MAX_PARALLEL_QUERIES: usize = 16;
 
-/// Waits, telling progress; names the hosts that did not report the version in time.
+/// Waits until all live hosts report the version, and prints the progress. Returns their
+/// number, or an error that names the hosts that didn't report the version in time.
 pub fn wait_in_force(
     client: &PlatformClient,
     port: u16,
@@ -27,64 +28,70 @@
 ) -> Result<usize, Failure> {
     let mut reported = 0;
     loop {
-        let late = match live_hosts(client, port) {
+        let problem = match live_hosts(client, port) {
             Err(error) => format!("the host list can't be read: {error}"),
             Ok(hosts) => {
                 let missing: Vec<String> = hosts
-                    .chunks(ASKED_AT_ONCE)
-                    .flat_map(|some| not_reporting(some, version))
+                    .chunks(MAX_PARALLEL_QUERIES)
+                    .flat_map(|chunk| hosts_without_version(chunk, version))
                     .collect();
                 if missing.is_empty() {
                     return Ok(hosts.len());
                 }
-                let have = hosts.len() - missing.len();
-                if have != reported {
-                    reported = have;
-                    eprintln!("in force on {have} of {} hosts", hosts.len());
+                let count = hosts.len() - missing.len();
+                if count != reported {
+                    reported = count;
+                    eprintln!("in force on {count} of {} hosts", hosts.len());
                 }
                 format!("these hosts don't report it: {}", missing.join(", "))
             }
         };
         if deadline.has_passed() {
             return Err(Failure::Failed(format!(
-                "version {version} is accepted, but {late}"
+                "version {version} is accepted, but {problem}"
             )));
         }
         thread::sleep(ROUND_PAUSE);
     }
 }
 
-/// Names and operator listeners of the hosts that the host list gives as live.
+/// Returns names and operator listeners of the hosts that the host list doesn't mark as
+/// leaving.
 fn live_hosts(client: &PlatformClient, port: u16) -> Result<Vec<(String, SocketAddr)>, String> {
     let found = client.get::<WireHostList>(HOSTS)?;
     let (_, list) = found.unwrap_or_default();
     let live = list.hosts.iter().filter(|host| !host.leaving);
     live.map(|host| {
         let link: Result<SocketAddr, _> = host.link.parse();
-        let mut address = link.map_err(|_| format!("{}: {} is no IP:PORT", host.id, host.link))?;
+        let mut address =
+            link.map_err(|_| format!("{}: `{}` is not IP:PORT", host.id, host.link))?;
         address.set_port(port);
         Ok((host.id.to_string(), address))
     })
     .collect()
 }
 
-fn not_reporting(hosts: &[(String, SocketAddr)], version: u64) -> Vec<String> {
+/// Queries hosts in parallel and returns the names of those that don't report the version,
+/// each with the reason.
+fn hosts_without_version(hosts: &[(String, SocketAddr)], version: u64) -> Vec<String> {
     thread::scope(|scope| {
-        let asked: Vec<_> = hosts
+        let queries: Vec<_> = hosts
             .iter()
             .map(|(name, address)| {
                 let client = OperatorClient::new(&address.to_string(), HOST_TIMEOUT);
-                let ask =
-                    move || reports(&client, version).map_err(|why| format!("{name} ({why})"));
-                scope.spawn(ask)
+                let query = move || {
+                    check_version(&client, version).map_err(|why| format!("{name} ({why})"))
+                };
+                scope.spawn(query)
             })
             .collect();
-        let answers = asked.into_iter().filter_map(|host| host.join().ok());
-        answers.filter_map(Result::err).collect()
+        let results = queries.into_iter().filter_map(|host| host.join().ok());
+        results.filter_map(Result::err).collect()
     })
 }
 
-fn reports(client: &OperatorClient, version: u64) -> Result<(), String> {
+/// Checks that a host reports the version of the rules or a newer one.
+fn check_version(client: &OperatorClient, version: u64) -> Result<(), String> {
     match client.get::<StatusBody>("/status") {
         Ok(status) if status.rules_version >= version => Ok(()),
         Ok(status) => Err(format!("has version {}", status.rules_version)),
--- a/crates/jaypin/src/cli/rules/who.rs
+++ b/crates/jaypin/src/cli/rules/who.rs
@@ -5,28 +5,28 @@
 use lexopt::Parser;
 
 use super::{Failure, Outcome, help, parse, read_file, required};
+use crate::cli::argument::Argument;
 use crate::cli::print_json;
 use crate::cli::target::{TARGET_HELP, Target};
-use crate::cli::word::Word;
 use crate::rules_change::RulesStore;
 
 const HELP: &str = "\
 usage: jaypin rules who LINE [FILE] [OPTIONS]
 
-Says who asked for the rule in a line of the rules in force, or of FILE.
+Shows who asked for the rule in a line of the rules in force, or of FILE.
 ";
 
-/// Names the requester of a rule.
+/// Shows the requester of a rule.
 pub fn run(parser: &mut Parser) -> Outcome {
     let mut target = Target::default();
     let mut line: Option<u32> = None;
     let mut file = None;
-    while let Some(word) = Word::next(parser)? {
-        match word.option() {
+    while let Some(arg) = Argument::next(parser)? {
+        match arg.option() {
             "--help" => return help(&format!("{HELP}{TARGET_HELP}")),
-            _ if target.take(&word, parser)? => {}
-            _ if line.is_none() => line = Some(line_number(word)?),
-            _ => file = Some(PathBuf::from(word.place(file.as_ref())?)),
+            _ if target.parse_option(&arg, parser)? => {}
+            _ if line.is_none() => line = Some(line_number(arg)?),
+            _ => file = Some(PathBuf::from(arg.positional(file.as_ref())?)),
         }
     }
     let line = required(line, "LINE")?;
@@ -54,8 +54,8 @@
     Ok(())
 }
 
-fn line_number(word: Word) -> Result<u32, Failure> {
-    let text = word.place::<()>(None)?;
+fn line_number(arg: Argument) -> Result<u32, Failure> {
+    let text = arg.positional::<()>(None)?;
     let number = text.parse();
-    number.map_err(|_| Failure::Usage(format!("`{text}` is no line number")))
+    number.map_err(|_| Failure::Usage(format!("`{text}` is not a line number")))
 }
--- a/crates/jaypin/src/cli/serve.rs
+++ b/crates/jaypin/src/cli/serve.rs
@@ -4,7 +4,7 @@
 
 use lexopt::Parser;
 
-use super::word::Word;
+use super::argument::Argument;
 use super::{Failure, Outcome, help, required, text_value};
 use crate::settings::Settings;
 use crate::{logging, serve};
@@ -12,17 +12,17 @@
 const HELP: &str = "\
 usage: jaypin serve --settings FILE
 
-Runs an entry host until it is told to leave (SIGTERM, SIGINT or `jaypin drain`); it
-then finishes what it has. Logs go to standard error; RUST_LOG filters them.";
+Runs an entry host until it is shut down by SIGTERM, SIGINT or `jaypin drain`; it finishes
+its requests first. Logs go to standard error; RUST_LOG filters them.";
 
 /// Runs an entry host.
 pub fn run(parser: &mut Parser) -> Outcome {
     let mut file = None;
-    while let Some(word) = Word::next(parser)? {
-        match word.option() {
+    while let Some(arg) = Argument::next(parser)? {
+        match arg.option() {
             "--help" => return help(HELP),
             "--settings" => file = Some(PathBuf::from(text_value(parser)?)),
-            _ => return Err(word.unexpected()),
+            _ => return Err(arg.unexpected()),
         }
     }
     let file = required(file, "--settings FILE")?;
--- a/crates/jaypin/src/cli/settings.rs
+++ b/crates/jaypin/src/cli/settings.rs
@@ -4,23 +4,23 @@
 
 use lexopt::Parser;
 
-use super::word::Word;
+use super::argument::Argument;
 use super::{Failure, Outcome, help, required};
 use crate::settings::Settings;
 
 const HELP: &str = "\
 usage: jaypin settings check FILE
 
-Checks a settings file and names every mistake with its line; starts nothing.";
+Checks a settings file and lists every mistake with its line; doesn't start a host.";
 
 /// Checks a settings file.
 pub fn run(parser: &mut Parser) -> Outcome {
     let (mut command, mut file) = (None, None);
-    while let Some(word) = Word::next(parser)? {
-        match word.option() {
+    while let Some(arg) = Argument::next(parser)? {
+        match arg.option() {
             "--help" => return help(HELP),
-            _ if command.is_none() => command = Some(word.place(command.as_ref())?),
-            _ => file = Some(PathBuf::from(word.place(file.as_ref())?)),
+            _ if command.is_none() => command = Some(arg.positional(command.as_ref())?),
+            _ => file = Some(PathBuf::from(arg.positional(file.as_ref())?)),
         }
     }
     if command.as_deref() != Some("check") {
--- a/crates/jaypin/src/cli/status.rs
+++ b/crates/jaypin/src/cli/status.rs
@@ -9,7 +9,7 @@
 const HELP: &str = "\
 usage: jaypin status [OPTIONS]
 
-Shows versions and counts of one host, and the fleet as that host sees it.
+Shows versions and counts of one host, and the fleet as that host knows it.
 ";
 
 /// Shows a host's status.
@@ -40,15 +40,15 @@
         status.rules_version, status.hosts_version, status.platform
     );
     println!(
-        "own requests: {} wait, {} run",
+        "own requests: {} waiting, {} running",
         status.waiting, status.running
     );
     println!(
-        "shards led: {}, in them {} wait, {} run",
+        "shards led: {}, in these {} waiting, {} running",
         status.shards_led, status.queued_here, status.granted_here
     );
     println!(
-        "contents under suspicion: {}, of them refused: {}",
+        "suspected request contents: {}, of these quarantined: {}",
         status.suspected_requests, status.quarantined_requests
     );
     for shard in &status.shards {
--- a/crates/jaypin/src/cli/target.rs
+++ b/crates/jaypin/src/cli/target.rs
@@ -1,4 +1,5 @@
-//! Where a command turns to: a host's operator listener and, through it, the platform.
+//! The target of a command: a host's operator listener, and the platform's address, which the
+//! host provides by default.
 
 use std::time::Duration;
 
@@ -7,37 +8,37 @@
 use lexopt::Parser;
 use serde::de::DeserializeOwned;
 
-use super::word::Word;
+use super::argument::Argument;
 use super::{Failure, help, text_value};
 use crate::platform::PlatformClient;
 
-/// Where a host listens to operators when nothing else is said.
+/// Default address of a host's operator listener.
 const DEFAULT_HOST: &str = "127.0.0.1:7103";
-/// Variable that holds the operators' token.
+/// Environment variable that holds the operators' token.
 const TOKEN_VARIABLE: &str = "JAYPIN_OPERATOR_TOKEN";
-/// Time for a host or the platform to answer.
+/// Timeout of a request to a host or the platform.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Options that name the target, for every help text.
+/// Description of the target options for the help texts.
 pub const TARGET_HELP: &str = "\
   --host IP:PORT      a host's operator listener, 127.0.0.1:7103 by default
-  --platform IP:PORT  the platform; asked of the host when absent
+  --platform IP:PORT  the platform; by default the one that the host uses
   --json              print JSON
 The operators' token is read from the variable JAYPIN_OPERATOR_TOKEN.";
 
-/// What a command turns to, as the command line says.
+/// The target options of a command.
 #[derive(Debug, Default)]
 pub struct Target {
     host: Option<String>,
     platform: Option<String>,
-    /// Whether JSON is wanted.
+    /// Whether the command prints JSON.
     pub json: bool,
 }
 
 impl Target {
-    /// Takes an option that names a target; says whether it was one.
-    pub fn take(&mut self, word: &Word, parser: &mut Parser) -> Result<bool, Failure> {
-        match word.option() {
+    /// Parses the argument if it is a target option; returns whether it was one.
+    pub fn parse_option(&mut self, arg: &Argument, parser: &mut Parser) -> Result<bool, Failure> {
+        match arg.option() {
             "--host" => self.host = Some(text_value(parser)?),
             "--platform" => self.platform = Some(text_value(parser)?),
             "--json" => self.json = true,
@@ -46,29 +47,30 @@
         Ok(true)
     }
 
-    /// Reads the options of a command that takes no others; gives nothing when help was
-    /// asked for and shown.
+    /// Parses the arguments of a command that only has target options. Prints the help text
+    /// and returns `None` if `--help` is among them.
     pub fn read(parser: &mut Parser, command_help: &str) -> Result<Option<Self>, Failure> {
         let mut target = Self::default();
-        while let Some(word) = Word::next(parser)? {
-            match word.option() {
+        while let Some(arg) = Argument::next(parser)? {
+            match arg.option() {
                 "--help" => {
                     help(&format!("{command_help}{TARGET_HELP}"))?;
                     return Ok(None);
                 }
-                _ if target.take(&word, parser)? => {}
-                _ => return Err(word.unexpected()),
+                _ if target.parse_option(&arg, parser)? => {}
+                _ => return Err(arg.unexpected()),
             }
         }
         Ok(Some(target))
     }
 
-    /// The host to ask.
+    /// Returns a client of the host's operator listener.
     pub fn host(&self) -> OperatorClient {
         OperatorClient::new(self.host.as_deref().unwrap_or(DEFAULT_HOST), TIMEOUT)
     }
 
-    /// The platform, named or asked of the host.
+    /// Returns a client of the platform, whose address is given by an option or read from the
+    /// host's status.
     pub fn platform(&self) -> Result<PlatformClient, Failure> {
         let address = match &self.platform {
             Some(address) => address.clone(),
@@ -77,7 +79,7 @@
         Ok(PlatformClient::new(&address, TIMEOUT))
     }
 
-    /// Port of every host's operator listener: hosts of a fleet use the same.
+    /// Returns the port of the operator listeners, which is the same on all hosts of a fleet.
     pub fn operator_port(&self) -> Result<u16, Failure> {
         let host = self.host.as_deref().unwrap_or(DEFAULT_HOST);
         let port = host.rsplit(':').next().and_then(|port| port.parse().ok());
@@ -93,7 +95,7 @@
 }
 
 impl OperatorClient {
-    /// Builds a client for an address.
+    /// Creates a client for an address.
     pub fn new(address: &str, timeout: Duration) -> Self {
         Self {
             address: address.to_owned(),
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Reads a page.
+    /// Sends a GET request and decodes the response body as JSON.
     pub fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
         let url = format!("http://{}{path}", self.address);
         let response = self.send(attohttpc::get(url))?;
@@ -109,12 +111,14 @@
         body.map_err(|error| Failure::Failed(format!("{}: {error}", self.address)))
     }
 
-    /// Gives an order.
+    /// Sends a POST request without a body and ignores the response body.
     pub fn post(&self, path: &str) -> Result<(), Failure> {
         let url = format!("http://{}{path}", self.address);
         self.send(attohttpc::post(url)).map(|_| ())
     }
 
+    /// Sends a request with the operators' token. A response without a success status is an
+    /// error that has the status and the body.
     fn send<B: attohttpc::body::Body>(&self, req: RequestBuilder<B>) -> Result<Response, Failure> {
         let mut req = req.timeout(self.timeout);
         if let Ok(token) = std::env::var(TOKEN_VARIABLE) {
--- a/crates/jaypin/src/settings/mod.rs
+++ b/crates/jaypin/src/settings/mod.rs
@@ -151,7 +151,7 @@
 fn read_positive(reader: &mut Reader, name: &'static str) -> Option<u64> {
     let value = reader.optional(name, COUNT)?;
     if value == 0 {
-        reader.report(name, "found 0, expected more");
+        reader.report(name, "found 0, expected at least 1");
     }
     Some(value)
 }
--- a/crates/jaypin/tests/command_line.rs
+++ b/crates/jaypin/tests/command_line.rs
@@ -1,8 +1,9 @@
-//! What the command line says of wrong input, and with which exit code it ends.
+//! Tests the output and the exit codes of the commands.
 
 use std::process::Command;
 
-/// Names a case, its arguments, its exit code and a part of what it says.
+/// Defines a test for each line: its name, the arguments of the command, the exit code and a
+/// text that the output must contain.
 macro_rules! commands {
     ($($name:ident: $args:expr => $code:expr, $part:expr;)*) => {
         $(
@@ -24,9 +25,9 @@
     an_unknown_option_is_named: ["status", "--verbose"] => 2, "`--verbose` is not expected";
     a_missing_file_is_named: ["rules", "check", "none.yaml"] => 2, "none.yaml";
     a_missing_argument_is_named: ["rules", "apply", "x.yaml"] => 2, "--edited-from VERSION is missing";
-    a_host_that_is_not_there_is_a_failure: ["status", "--host", "127.0.0.1:1"] => 1, "127.0.0.1:1";
+    an_unreachable_host_is_a_failure: ["status", "--host", "127.0.0.1:1"] => 1, "127.0.0.1:1";
     serving_needs_settings: ["serve"] => 2, "--settings FILE is missing";
-    wrong_settings_start_nothing: ["serve", "--settings", "tests/wrong-settings.yaml"] => 2, "fleet-key";
+    invalid_settings_are_rejected: ["serve", "--settings", "tests/wrong-settings.yaml"] => 2, "fleet-key";
     help_of_serve: ["serve", "--help"] => 0, "usage: jaypin serve";
     help_of_settings: ["settings", "--help"] => 0, "usage: jaypin settings check";
     help_of_rules: ["rules", "--help"] => 0, "usage: jaypin rules COMMAND";
@@ -45,21 +46,21 @@
     a_resumed_stream_is_explained_from_a_log:
         ["explain", "2cc62190f03fef8b", "--log", "tests/entry-log.jsonl"] => 0,
         "call to engine-9 ended as complete after 2713 ms, first event after 88 ms";
-    refusals_are_summed_by_rank_and_grounds: ["explain", "--all", "--log", "tests/heavy-log.jsonl"] => 0,
+    refusals_are_summed_by_rank_and_reason: ["explain", "--all", "--log", "tests/heavy-log.jsonl"] => 0,
         "1.2            1       1        2       1   over-limit 1; shed (kept) 1;";
     refusals_are_summed_by_account: ["explain", "--all", "--log", "tests/heavy-log.jsonl"] => 0,
         "depot          0       0        2       1   over-limit 1; shed (kept) 1;";
-    a_second_shows_what_was_served_beside_a_refusal:
+    the_row_of_a_second_has_served_and_refused_requests:
         ["explain", "--all", "--log", "tests/heavy-log.jsonl"] => 0,
         "     1   1.0 0/1 0.0  1.2 1/2 0.5";
     a_log_without_requests_is_a_failure: ["explain", "--all", "--log", "tests/wrong-settings.yaml"] => 1,
-        "says nothing of requests";
+        "has no line about a request";
     a_request_that_a_log_lacks_is_a_failure:
-        ["explain", "nobody", "--log", "tests/entry-log.jsonl"] => 1, "says nothing of nobody";
+        ["explain", "nobody", "--log", "tests/entry-log.jsonl"] => 1, "no line about request nobody";
     entry_needs_settings: ["entry"] => 2, "--settings FILE is missing";
     help_of_entry: ["entry", "--help"] => 0, "usage: jaypin entry";
     help_of_drain: ["drain", "--help"] => 0, "usage: jaypin drain";
-    an_example_is_good: ["rules", "check", "../../examples/lanyang-rules.yaml"] => 0, "good";
+    an_example_is_valid: ["rules", "check", "../../examples/lanyang-rules.yaml"] => 0, "good";
     a_requester_is_named: ["rules", "who", "3", "../../examples/hanbit-rules.yaml"] => 0,
         "tier `alert-label`, asked by depot managers, minute 4";
     a_line_without_a_rule_is_a_failure: ["rules", "who", "99", "../../examples/hanbit-rules.yaml"] => 1,
@@ -68,9 +69,10 @@
         "-1: host: host-1";
 }
 
+/// Runs the binary; returns its exit code and its output, standard output first.
 fn jaypin(args: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_jaypin"));
-    let output = command.args(args).output().expect("it runs");
+    let output = command.args(args).output().expect("the jaypin binary runs");
     let text = [output.stdout, output.stderr].concat();
     (
         output.status.code(),
