--- a/crates/jaypin/src/cli/mod.rs
+++ b/crates/jaypin/src/cli/mod.rs
@@ -27,7 +27,7 @@
 usage: jaypin COMMAND ...
 
   serve           run an entry host
-  entry           run an entry host on a platform that keeps the configuration
+  entry           run an entry host on a platform that stores the configuration
   settings check  check a settings file
   rules           check, diff, apply, show, log, who: the rule file
   audit           show and verify the audit trail of rule changes
--- a/crates/jaypin/src/rules_change/store.rs
+++ b/crates/jaypin/src/rules_change/store.rs
@@ -102,7 +102,7 @@
         let id = &new.change.apply_id;
         let is_own_write = |found: &RulesObject| found.change_status(id) != ChangeStatus::Missing;
         let expected = new.edited_from;
-        let settled = put_confirmed(
+        let outcome = put_confirmed(
             self.client,
             RULES,
             expected,
@@ -110,7 +110,7 @@
             deadline,
             is_own_write,
         )?;
-        Ok(match settled {
+        Ok(match outcome {
             ConfirmedPut::Written(version) => self.accepted_or_superseded(id, version),
             ConfirmedPut::Conflict(version, mut found) => {
                 read_parts(self.client, &mut found)?;
--- a/crates/jaypin/src/serve.rs
+++ b/crates/jaypin/src/serve.rs
@@ -53,9 +53,9 @@
 async fn serve(settings: Settings) -> Result<(), String> {
     let incarnation = incarnation();
     let host = HostId::from(settings.host.as_str());
-    let callers = frontend::listen(settings.listen)
+    let caller_listener = frontend::listen(settings.listen)
         .map_err(|error| format!("listen {}: {error}", settings.listen))?;
-    let peers = TcpListener::bind(settings.link_listen)
+    let link_listener = TcpListener::bind(settings.link_listen)
         .await
         .map_err(|error| format!("link-listen {}: {error}", settings.link_listen))?;
     let (events, event_rx) = unbounded();
@@ -111,7 +111,7 @@
     };
     platform::spawn_watches(&settings.platform.to_string(), &events, &control)
         .map_err(|error| error.to_string())?;
-    tokio::spawn(links.clone().accept(peers));
+    tokio::spawn(links.clone().accept(link_listener));
     tokio::spawn(links.clone().keep_up());
     tokio::spawn(links.meet(settings.peers.clone()));
     let frontend = Frontend::new(
@@ -122,7 +122,7 @@
         decisions,
         events.clone(),
     );
-    tokio::spawn(frontend.accept(callers));
+    tokio::spawn(frontend.accept(caller_listener));
     log::info!(host = settings.host, incarnation, listen:% = settings.listen; "serving");
     run_until_exit(&events, &exit).await?;
     log::info!(host = settings.host; "left");
