--- a/crates/jaypin/src/operator/explain.rs
+++ b/crates/jaypin/src/operator/explain.rs
@@ -34,11 +34,11 @@
             };
         }
         if owner.incarnation == self.identity.incarnation {
-            error_page(404, "the record is no longer kept: see the host's log")
+            error_page(404, "the record is not kept any more: see the host's log")
         } else {
             error_page(
                 404,
-                "the process that owned the request has exited: see the host's log",
+                "the process that owned it has ended: see the host's log",
             )
         }
     }
@@ -54,16 +54,10 @@
         let hosts = &snapshot.hosts.hosts;
         let record = hosts.iter().find(|host| &*host.id == owner.host);
         let Some(record) = record else {
-            return error_page(
-                404,
-                "the host that owns the request is not in the host list",
-            );
+            return error_page(404, "the host that owned it is not in the host list");
         };
         let Ok(mut address) = record.link.parse::<SocketAddr>() else {
-            return error_page(
-                502,
-                "the host list has an invalid address for the owner of the request",
-            );
+            return error_page(502, "the owner's address can't be read");
         };
         address.set_port(self.port);
         let mut query = attohttpc::get(format!("http://{address}/explain/{id}"))
@@ -78,10 +72,7 @@
                 (status, response.text().unwrap_or_default())
             }
             Err(error) => {
-                let message = format!(
-                    "query to {}, which owns the request, failed: {error}",
-                    owner.host
-                );
+                let message = format!("{}, which owns it, does not answer: {error}", owner.host);
                 error_page(502, &message)
             }
         }
--- a/crates/jaypin/src/operator/mod.rs
+++ b/crates/jaypin/src/operator/mod.rs
@@ -142,10 +142,7 @@
     if summary.hosts_version == 0 {
         (503, "\"no host list yet\"".to_owned())
     } else if !summary.caught_up {
-        (
-            503,
-            "\"rules and host list not confirmed to be current yet\"".to_owned(),
-        )
+        (503, "\"no peer heard yet, or no rules\"".to_owned())
     } else if summary.rules_version == 0 {
         (503, "\"no rules yet\"".to_owned())
     } else if summary.draining {
