--- a/crates/jaypin/src/answer.rs
+++ b/crates/jaypin/src/answer.rs
@@ -1,4 +1,5 @@
-//! Answers towards callers: bodies, refusals, and streams that never end quietly.
+//! Responses to callers: bodies, refusals and streams, which end with an explicit error if
+//! they are incomplete.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -18,13 +19,14 @@
 
 use crate::metrics;
 
-/// Body of every answer; an error in it breaks the connection off.
+/// Body of every response; an error in it closes the connection abnormally.
 pub type AnswerBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Chunks on their way to a caller.
+/// Sender of the chunks of a streamed response.
 pub type ChunkSender = mpsc::Sender<Result<Bytes, std::io::Error>>;
 
-/// Says when the caller left before its answer ended.
+/// Reports to the reducer, when dropped while armed, that the caller disconnected before
+/// its response ended.
 #[derive(Debug)]
 pub struct CallerGuard {
     id: RequestId,
@@ -33,7 +35,7 @@
 }
 
 impl CallerGuard {
-    /// Watches over a request.
+    /// Creates an armed guard for a request.
     pub fn new(id: RequestId, events: Sender<Event>) -> Self {
         Self {
             id,
@@ -42,7 +44,7 @@
         }
     }
 
-    /// The answer ended; the caller may leave.
+    /// Disarms the guard, because the response is complete or about to be sent.
     pub fn disarm(&mut self) {
         self.armed = false;
     }
@@ -56,28 +58,28 @@
     }
 }
 
-/// Chunks of an answer as a body, with the guard that notices a caller who left.
+/// Body of a streamed response, with the guard that reports a caller who disconnects.
 #[derive(Debug)]
-pub struct Chunks {
+pub struct ChunkBody {
     rx: mpsc::Receiver<Result<Bytes, std::io::Error>>,
     guard: CallerGuard,
-    failing: Option<std::io::Error>,
-    last: Option<Instant>,
+    pending_error: Option<std::io::Error>,
+    last_chunk_at: Option<Instant>,
 }
 
-impl Chunks {
-    /// Joins the receiving end with the guard.
+impl ChunkBody {
+    /// Creates a body that ends when the sender of its chunks is dropped.
     pub fn new(rx: mpsc::Receiver<Result<Bytes, std::io::Error>>, guard: CallerGuard) -> Self {
         Self {
             rx,
             guard,
-            failing: None,
-            last: None,
+            pending_error: None,
+            last_chunk_at: None,
         }
     }
 }
 
-impl Body for Chunks {
+impl Body for ChunkBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -85,22 +87,22 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
-        if let Some(error) = self.failing.take() {
+        if let Some(error) = self.pending_error.take() {
             return Poll::Ready(Some(Err(error)));
         }
         match self.rx.poll_recv(cx) {
             Poll::Ready(Some(Ok(chunk))) => {
                 let now = Instant::now();
-                if let Some(last) = self.last.replace(now) {
-                    metrics::gap(now.duration_since(last));
+                if let Some(last_chunk_at) = self.last_chunk_at.replace(now) {
+                    metrics::record_chunk_gap(now.duration_since(last_chunk_at));
                 }
                 Poll::Ready(Some(Ok(Frame::data(chunk))))
             }
-            // Guards against a lost error event: an error drops what is not flushed,
-            // and the caller would see a broken connection without the reason. One
-            // turn without a frame makes the connection flush first.
+            // An error makes the connection drop bytes that are not flushed, so the error
+            // event before it could get lost and the caller would see a broken connection
+            // without the reason. Returning `Pending` once makes the connection flush.
             Poll::Ready(Some(Err(error))) => {
-                self.failing = Some(error);
+                self.pending_error = Some(error);
                 cx.waker().wake_by_ref();
                 Poll::Pending
             }
@@ -113,14 +115,14 @@
     }
 }
 
-/// A body that is there as a whole.
+/// Creates a body from bytes that are all available.
 pub fn full(bytes: impl Into<Bytes>) -> AnswerBody {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// An answer with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<AnswerBody> {
     let mut response = Response::new(full(serde_json::to_vec(value).unwrap_or_default()));
     *response.status_mut() = status;
@@ -130,7 +132,7 @@
     response
 }
 
-/// A refusal by the decisions, as an answer.
+/// Creates the response for a refusal by the reducer.
 pub fn refusal(id: Option<&RequestId>, refusal: &Refusal) -> Response<AnswerBody> {
     let mut body = RefusalBody::from(refusal);
     body.request_id = id.map(ToString::to_string);
@@ -144,7 +146,7 @@
     response
 }
 
-/// The answer that a call with the same key got before.
+/// Creates a response from the stored answer of an earlier call with the same key.
 pub fn replayed(stored: &StoredAnswer) -> Response<AnswerBody> {
     let mut response = Response::new(full(stored.body.to_vec()));
     *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or_default();
@@ -156,7 +158,7 @@
     response
 }
 
-/// A refusal before a request reached the decisions.
+/// Creates the response for a request that is rejected before it reaches the reducer.
 pub fn rejected(
     status: StatusCode,
     reason: &str,
@@ -174,7 +176,7 @@
     json(status, &body)
 }
 
-/// The event that ends a stream which can't be completed.
+/// Creates the server-sent event that ends a stream which can't be completed.
 pub fn error_event(refusal: &Refusal) -> Bytes {
     let body = serde_json::to_string(&RefusalBody::from(refusal)).unwrap_or_default();
     Bytes::from(format!("event: error\ndata: {body}\n\n"))
--- a/crates/jaypin/src/backend_call/whole.rs
+++ b/crates/jaypin/src/backend_call/buffered.rs
@@ -1,4 +1,4 @@
-//! Answers that come as a whole.
+//! Forwards responses that are not streams, once they are complete.
 
 use bytes::Bytes;
 use crossbeam::channel::Sender;
@@ -13,23 +13,31 @@
 use tokio::time::timeout;
 
 use super::connect::connect;
-use super::{Call, Cx, Passed, copy_type};
+use super::{Call, Cx, Forwarded, copy_content_type};
 use crate::answer::full;
 
-/// Reads the body and answers the caller with it.
-pub async fn pass(cx: &Cx<'_>, passed: &mut Passed, response: Response<Incoming>) -> CallOutcome {
+/// Reads the complete body and responds to the caller with it.
+pub async fn forward(
+    cx: &Cx<'_>,
+    forwarded: &mut Forwarded,
+    response: Response<Incoming>,
+) -> CallOutcome {
     let (head, body) = response.into_parts();
-    let left = cx.call.outbound.whole.saturating_sub(cx.started.elapsed());
-    let body = match timeout(left, body.collect()).await {
+    let remaining = cx
+        .call
+        .outbound
+        .response_due_in
+        .saturating_sub(cx.started.elapsed());
+    let body = match timeout(remaining, body.collect()).await {
         Ok(Ok(body)) => body,
-        Ok(Err(_)) => return after_cut(cx).await,
+        Ok(Err(_)) => return outcome_of_disconnect(cx).await,
         Err(_) => return CallOutcome::ConnectionLost,
     };
     let bytes = body.to_bytes();
-    cx.tell(CallProgress::FirstToken);
-    passed.tokens = tokens_in(&bytes);
+    cx.report(CallProgress::FirstToken);
+    forwarded.tokens = completion_tokens_in(&bytes);
     if cx.call.outbound.store_answer {
-        tell_answered(cx.events, cx.call, &head, &bytes);
+        report_keyed_answer(cx.events, cx.call, &head, &bytes);
     }
     let Some(mut caller) = cx.calls.take_caller(&cx.call.id, None) else {
         return CallOutcome::Cancelled;
@@ -37,25 +45,28 @@
     caller.guard.disarm();
     let mut answer = Response::new(full(bytes));
     *answer.status_mut() = head.status;
-    copy_type(&head.headers, &mut answer);
+    copy_content_type(&head.headers, &mut answer);
     match caller.reply.send(answer) {
         Ok(()) => CallOutcome::Complete,
         Err(_) => CallOutcome::Cancelled,
     }
 }
 
-/// What a cut connection means: a backend server that listens no more has died under
-/// the call, anything else is a lost connection.
-pub async fn after_cut(cx: &Cx<'_>) -> CallOutcome {
+/// Returns the outcome of a call whose connection failed: the backend server crashed if it
+/// refuses a new connection, otherwise only the connection was lost.
+pub async fn outcome_of_disconnect(cx: &Cx<'_>) -> CallOutcome {
     match connect(&cx.call.address).await {
         Err(ConnectError::Refused) => CallOutcome::BackendCrashed,
         Ok(_) | Err(_) => CallOutcome::ConnectionLost,
     }
 }
 
-/// The outcome is kept before the caller is answered, so that a caller whose answer
-/// is lost on the way gets it again under its key.
-fn tell_answered(events: &Sender<Event>, call: &Call, head: &response::Parts, body: &Bytes) {
+/// Reports the answer of a call with an idempotency key to the reducer, which stores it.
+///
+/// This precedes the response to the caller, so that a caller that does not receive the
+/// response can get it again under the same key. An answer above the size limit is reported
+/// without its body.
+fn report_keyed_answer(events: &Sender<Event>, call: &Call, head: &response::Parts, body: &Bytes) {
     let content_type = head.headers.get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     let answer = (body.len() <= MAX_STORED_ANSWER_BYTES).then(|| StoredAnswer {
@@ -67,7 +78,8 @@
     let _ = events.send(Event::KeyedCallAnswered { id, answer });
 }
 
-fn tokens_in(body: &[u8]) -> u32 {
+/// Returns the number of generated tokens that the body states, or 1 if it states none.
+fn completion_tokens_in(body: &[u8]) -> u32 {
     #[derive(Deserialize)]
     struct Answer {
         usage: Usage,
--- a/crates/jaypin/src/backend_call/connect.rs
+++ b/crates/jaypin/src/backend_call/connect.rs
@@ -1,4 +1,4 @@
-//! The small requests made on connections of their own.
+//! Connections to backend servers, and small requests that each use their own connection.
 
 use std::time::Duration;
 
@@ -10,23 +10,24 @@
 use jaypin_http::{ConnectError, ConnectTimeouts, Sender};
 use tokio::time::timeout;
 
-/// How long a backend server may take to be connected to, and to acknowledge bytes.
-const LIMITS: ConnectTimeouts = ConnectTimeouts {
+/// Longest times for a connection to be established and for sent bytes to be
+/// acknowledged.
+const CONNECT_TIMEOUTS: ConnectTimeouts = ConnectTimeouts {
     connect: Duration::from_secs(1),
     unacknowledged: Duration::from_secs(5),
 };
-/// Longest time for the head of an answer that needs no work.
+/// Longest time for the response head of a request that takes the backend server no work.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Opens a connection.
+/// Opens a connection and spawns the task that drives it.
 pub async fn connect(address: &str) -> Result<Sender, ConnectError> {
-    let (sender, driver) = jaypin_http::connect(address, LIMITS).await?;
+    let (sender, driver) = jaypin_http::connect(address, CONNECT_TIMEOUTS).await?;
     tokio::spawn(driver);
     Ok(sender)
 }
 
-/// Makes a request without a body on a connection of its own; gives nothing when no
-/// head came in time.
+/// Sends a request without a body on a new connection; returns `None` if no response head
+/// arrives in time.
 pub async fn request(
     address: &str,
     method: Method,
--- a/crates/jaypin/src/backend_call/event_kind.rs
+++ b/crates/jaypin/src/backend_call/event_kind.rs
@@ -1,22 +1,22 @@
-//! What the events of an engine's stream are.
+//! Classification of the server-sent events in an engine's stream.
 
-/// End of a stream of server-sent events, by the completions protocol.
+/// Line that ends a stream in the completions protocol.
 const DONE: &[u8] = b"data: [DONE]";
 
-/// What an event is.
+/// Kind of a server-sent event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventKind {
-    /// One token.
+    /// Carries one token.
     Token,
-    /// The end of the answer.
+    /// Marks the end of the answer.
     Done,
-    /// A comment, a ping, an event with a name.
+    /// A comment, a ping or a named event.
     Other,
 }
 
 impl EventKind {
-    /// Finds out by the lines of a whole event.
-    pub fn of(event: &[u8]) -> Self {
+    /// Returns the kind of a complete event, which its lines determine.
+    pub fn from_event(event: &[u8]) -> Self {
         let mut kind = Self::Other;
         for line in event.split(|byte| *byte == b'\n') {
             if line.starts_with(b"event:") {
--- a/crates/jaypin/src/backend_call/load.rs
+++ b/crates/jaypin/src/backend_call/load.rs
@@ -1,4 +1,4 @@
-//! Load reports of backend servers.
+//! Polls backend servers for load reports.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use super::connect::request;
 
-/// Longest time for a load report.
+/// Longest time for a backend server to deliver its load report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Deserialize)]
@@ -22,14 +22,15 @@
     age_ms: u64,
 }
 
-/// Asks a backend server for its load.
+/// Requests the load report of a backend server and sends it to the reducer; a report that
+/// fails or is late is skipped.
 pub async fn poll_load(backend: BackendId, address: String, events: Sender<Event>) {
-    let ask = async {
+    let fetch = async {
         let response = request(&address, Method::GET, "/load").await.ok()??;
         let body = response.into_body().collect().await.ok()?.to_bytes();
         serde_json::from_slice::<Load>(&body).ok()
     };
-    if let Ok(Some(load)) = timeout(REPORT_TIMEOUT, ask).await {
+    if let Ok(Some(load)) = timeout(REPORT_TIMEOUT, fetch).await {
         let report = LoadReport {
             backend,
             running: load.running,
--- a/crates/jaypin/src/backend_call/mod.rs
+++ b/crates/jaypin/src/backend_call/mod.rs
@@ -1,14 +1,14 @@
-//! One call to a backend server, on a connection of its own.
+//! Calls to backend servers, each on a new connection.
 //!
-//! A connection a call costs a handshake inside the place and suits backend servers
-//! whose connections go silent: no call rests on a connection that worked before.
+//! A connection for each call costs one handshake within the site. In return, no call
+//! depends on an older connection, which may have gone silent without being closed.
 
+mod buffered;
 mod connect;
 mod event_kind;
+mod latency;
 mod load;
-mod paces;
 mod stream;
-mod whole;
 
 use std::sync::Arc;
 
@@ -22,78 +22,84 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 
+pub use latency::LatencyEstimates;
 pub use load::poll_load;
-pub use paces::Paces;
-use stream::First;
+use stream::FirstAttempt;
 
 use crate::answer::AnswerBody;
 use crate::calls::{Calls, Outbound};
 
-/// A call to be made.
+/// A call to make to a backend server.
 #[derive(Debug)]
 pub struct Call {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
     /// Address of the backend server.
     pub address: String,
-    /// Fencing number.
+    /// Fencing number, sent along so that the backend server can reject older grants.
     pub fence: Option<GrantNumber>,
-    /// What to send.
+    /// Request to send.
     pub outbound: Outbound,
-    /// Becomes true when the caller left.
+    /// Becomes true when the call is cancelled.
     pub cancelled: watch::Receiver<bool>,
 }
 
-/// What a running call works with.
+/// Context of a running call.
 #[derive(Debug)]
 struct Cx<'a> {
     call: &'a Call,
     calls: &'a Calls,
-    paces: &'a Paces,
+    latencies: &'a LatencyEstimates,
     events: &'a Sender<Event>,
     started: Instant,
 }
 
 impl Cx<'_> {
-    fn tell(&self, progress: CallProgress) {
+    fn report(&self, progress: CallProgress) {
         let id = self.call.id.clone();
         let _ = self.events.send(Event::Call { id, progress });
     }
 }
 
-/// What reached the caller.
+/// What was forwarded to the caller so far.
 #[derive(Debug, Default)]
-struct Passed {
+struct Forwarded {
     tokens: u32,
     first_at: Option<Instant>,
 }
 
-/// Makes the call and passes the answer on; tells the reducer how it goes.
-pub async fn run(call: Call, calls: Arc<Calls>, paces: Arc<Paces>, events: Sender<Event>) {
+/// Makes the call, forwards the response to the caller and reports progress to the reducer.
+pub async fn run(
+    call: Call,
+    calls: Arc<Calls>,
+    latencies: Arc<LatencyEstimates>,
+    events: Sender<Event>,
+) {
     let mut cancelled = call.cancelled.clone();
-    let mut passed = Passed::default();
+    let mut forwarded = Forwarded::default();
     let cx = Cx {
         call: &call,
         calls: &calls,
-        paces: &paces,
+        latencies: &latencies,
         events: &events,
         started: Instant::now(),
     };
     let mut outcome = tokio::select! {
-        outcome = make(&cx, &mut passed) => outcome,
-        () = told_to_stop(&mut cancelled) => Some(CallOutcome::Cancelled),
+        outcome = send_and_forward(&cx, &mut forwarded) => outcome,
+        () = wait_for_cancellation(&mut cancelled) => Some(CallOutcome::Cancelled),
     };
     if outcome.is_none() && *cancelled.borrow() {
         outcome = Some(CallOutcome::Cancelled);
     }
-    // Plain services know no streams: they would take the order for a call of theirs.
+    // Only engines have streams to delete; a plain service would treat the DELETE as a
+    // call of its own.
     if outcome == Some(CallOutcome::Cancelled) && call.outbound.kind == ServiceKind::Engine {
         let path = format!("/v1/streams/{}", call.id);
         let _ = connect::request(&call.address, Method::DELETE, &path).await;
     }
     let progress = match outcome {
         Some(outcome) => CallProgress::Finished {
-            tokens: passed.tokens,
+            tokens: forwarded.tokens,
             outcome,
         },
         None => CallProgress::NotSent,
@@ -103,46 +109,57 @@
         None => calls.put_back(&call.id, call.outbound.clone()),
         Some(_) => {}
     }
-    cx.tell(progress);
+    cx.report(progress);
 }
 
-async fn told_to_stop(cancelled: &mut watch::Receiver<bool>) {
-    if cancelled.wait_for(|gone| *gone).await.is_err() {
+/// Completes when the call is cancelled, and never if its sender is dropped instead.
+async fn wait_for_cancellation(cancelled: &mut watch::Receiver<bool>) {
+    if cancelled
+        .wait_for(|is_cancelled| *is_cancelled)
+        .await
+        .is_err()
+    {
         std::future::pending::<()>().await;
     }
 }
 
-/// Gives nothing when no byte was sent.
-async fn make(cx: &Cx<'_>, passed: &mut Passed) -> Option<CallOutcome> {
+/// Sends the request and forwards the response; returns `None` if no byte was sent.
+async fn send_and_forward(cx: &Cx<'_>, forwarded: &mut Forwarded) -> Option<CallOutcome> {
     let call = cx.call;
     let mut sender = connect::connect(&call.address).await.ok()?;
     let req = request(call);
-    cx.tell(CallProgress::Sent);
+    cx.report(CallProgress::Sent);
     let is_stream = call.outbound.stream;
-    // A plain answer has its deadline; a stream is resumed when its head is overdue.
+    // A response that is not streamed has a deadline; a stream whose head is overdue is
+    // resumed on another connection.
     let limit = if is_stream {
-        cx.paces
-            .first_token_limit(&call.address, call.outbound.prompt_tokens)
+        cx.latencies
+            .first_token_timeout(&call.address, call.outbound.prompt_tokens)
     } else {
-        call.outbound.whole
+        call.outbound.response_due_in
     };
     let response = match timeout(limit, sender.send_request(req)).await {
         Ok(Ok(response)) => response,
-        Ok(Err(_)) if is_stream => return Some(stream::pass(cx, passed, First::Cut).await),
-        Err(_) if is_stream => return Some(stream::pass(cx, passed, First::Silent).await),
-        Ok(Err(_)) => return Some(whole::after_cut(cx).await),
+        Ok(Err(_)) if is_stream => {
+            return Some(stream::forward(cx, forwarded, FirstAttempt::Disconnected).await);
+        }
+        Err(_) if is_stream => {
+            return Some(stream::forward(cx, forwarded, FirstAttempt::TimedOut).await);
+        }
+        Ok(Err(_)) => return Some(buffered::outcome_of_disconnect(cx).await),
         Err(_) => return Some(CallOutcome::ConnectionLost),
     };
     if response.status().is_server_error() {
         return Some(CallOutcome::Failed);
     }
     if is_stream && response.status() == StatusCode::OK {
-        Some(stream::pass(cx, passed, First::Head(response)).await)
+        Some(stream::forward(cx, forwarded, FirstAttempt::Head(response)).await)
     } else {
-        Some(whole::pass(cx, passed, response).await)
+        Some(buffered::forward(cx, forwarded, response).await)
     }
 }
 
+/// Builds the request to the backend server.
 fn request(call: &Call) -> Request<Full<Bytes>> {
     let outbound = &call.outbound;
     let mut req = Request::new(Full::new(outbound.body.clone()));
@@ -165,7 +182,7 @@
     req
 }
 
-fn copy_type(headers: &hyper::HeaderMap, answer: &mut Response<AnswerBody>) {
+fn copy_content_type(headers: &hyper::HeaderMap, answer: &mut Response<AnswerBody>) {
     if let Some(value) = headers.get(CONTENT_TYPE) {
         answer.headers_mut().insert(CONTENT_TYPE, value.clone());
     }
--- a/crates/jaypin/src/backend_call/stream.rs
+++ b/crates/jaypin/src/backend_call/stream.rs
@@ -1,4 +1,4 @@
-//! Streams of an engine, resumed where they broke off.
+//! Forwards an engine's streams, and resumes them where a connection failed.
 
 use std::time::Duration;
 
@@ -12,171 +12,175 @@
 
 use super::connect::request;
 use super::event_kind::EventKind;
-use super::{Cx, Passed, copy_type};
-use crate::answer::{ChunkSender, Chunks};
+use super::{Cx, Forwarded, copy_content_type};
+use crate::answer::{ChunkBody, ChunkSender};
 
-/// Chunks that may wait for a slow caller.
+/// Chunks buffered for a slow caller.
 const CHUNK_BUFFER: usize = 64;
-/// Resumes in a row that bring no token before a stream is given up.
+/// Consecutive resumes without a token after which the call counts as lost.
 const MAX_RESUMES: u32 = 5;
-/// Pause before the first resume; each next one is twice as long.
+/// Pause before the first resume; it doubles with each further one.
 const RESUME_PAUSE: Duration = Duration::from_millis(20);
 
-/// What the connection that the request was sent on brought.
-pub enum First {
-    /// The head of a stream.
+/// Result of the connection on which the request was sent.
+pub enum FirstAttempt {
+    /// The response head of a stream arrived.
     Head(Response<Incoming>),
-    /// It broke before a head came.
-    Cut,
-    /// No head came in time.
-    Silent,
+    /// The connection failed before a response head arrived.
+    Disconnected,
+    /// No response head arrived in time.
+    TimedOut,
 }
 
-/// Why a connection brought no more.
-enum Stopped {
-    /// The answer is whole.
-    Done,
-    /// The caller left.
-    CallerLeft,
-    /// The connection broke or ended before the end of the answer.
-    Cut,
-    /// Nothing came for too long.
-    Silent,
+/// Why reading from a connection ended.
+enum ReadEnd {
+    /// The answer is complete.
+    Complete,
+    /// The caller disconnected.
+    CallerDisconnected,
+    /// The connection failed or was closed before the end of the answer.
+    Disconnected,
+    /// No data arrived within the timeout.
+    TimedOut,
 }
 
-/// Passes a stream on to its end, over as many connections as it takes.
+/// Forwards a stream to its end, over several connections if necessary.
 ///
-/// Guards against connections that are cut or go silent under a stream: the engine
-/// goes on and keeps what it made, so a new connection to the same engine brings the
-/// rest, from the first token that was not passed on. Another engine is never asked:
-/// it would run the request a second time.
-pub async fn pass(cx: &Cx<'_>, passed: &mut Passed, first: First) -> CallOutcome {
+/// A connection can fail or go silent during a stream. The engine keeps generating and
+/// stores its output, so a new connection to the same engine delivers the remainder, from
+/// the first token that was not forwarded. Another engine is never used, because it would
+/// run the request a second time.
+pub async fn forward(cx: &Cx<'_>, forwarded: &mut Forwarded, first: FirstAttempt) -> CallOutcome {
     let mut tx = None;
-    let mut was_cut = matches!(first, First::Cut);
+    let mut was_disconnected = matches!(first, FirstAttempt::Disconnected);
     let mut source = match first {
-        First::Head(response) => Some(response),
-        First::Cut | First::Silent => None,
+        FirstAttempt::Head(response) => Some(response),
+        FirstAttempt::Disconnected | FirstAttempt::TimedOut => None,
     };
-    let mut fruitless = 0;
+    let mut resumes = 0;
     loop {
-        let before = passed.tokens;
+        let before = forwarded.tokens;
         if let Some(response) = source.take() {
             if tx.is_none() {
-                tx = open_answer(cx, &response);
+                tx = start_response(cx, &response);
             }
             let Some(tx) = &tx else {
                 return CallOutcome::Cancelled;
             };
-            match read(cx, passed, response, tx, fruitless).await {
-                Stopped::Done => return CallOutcome::Complete,
-                Stopped::CallerLeft => return CallOutcome::Cancelled,
-                Stopped::Cut => was_cut = true,
-                Stopped::Silent => {}
+            match forward_events(cx, forwarded, response, tx, resumes).await {
+                ReadEnd::Complete => return CallOutcome::Complete,
+                ReadEnd::CallerDisconnected => return CallOutcome::Cancelled,
+                ReadEnd::Disconnected => was_disconnected = true,
+                ReadEnd::TimedOut => {}
             }
         }
-        fruitless = if passed.tokens > before {
+        resumes = if forwarded.tokens > before {
             1
         } else {
-            fruitless + 1
+            resumes + 1
         };
-        if fruitless > MAX_RESUMES {
+        if resumes > MAX_RESUMES {
             return CallOutcome::ConnectionLost;
         }
-        sleep(RESUME_PAUSE * 2_u32.pow(fruitless - 1)).await;
-        let path = format!("/v1/streams/{}?offset={}", cx.call.id, passed.tokens);
+        sleep(RESUME_PAUSE * 2_u32.pow(resumes - 1)).await;
+        let path = format!("/v1/streams/{}?offset={}", cx.call.id, forwarded.tokens);
         match request(&cx.call.address, Method::GET, &path).await {
             Ok(Some(response)) if response.status() == StatusCode::OK => source = Some(response),
-            // A restarted engine knows nothing of the streams before.
+            // An engine that restarted does not know its earlier streams.
             Ok(Some(response)) if response.status() == StatusCode::NOT_FOUND => {
-                return if was_cut {
+                return if was_disconnected {
                     CallOutcome::BackendCrashed
                 } else {
                     CallOutcome::ConnectionLost
                 };
             }
-            Err(ConnectError::Refused) if was_cut => return CallOutcome::BackendCrashed,
+            Err(ConnectError::Refused) if was_disconnected => return CallOutcome::BackendCrashed,
             Ok(_) | Err(_) => {}
         }
     }
 }
 
-/// Sends the head; gives nothing when the caller left.
-fn open_answer(cx: &Cx<'_>, response: &Response<Incoming>) -> Option<ChunkSender> {
+/// Sends the response head to the caller; returns `None` if the caller disconnected.
+fn start_response(cx: &Cx<'_>, response: &Response<Incoming>) -> Option<ChunkSender> {
     let (tx, rx) = mpsc::channel(CHUNK_BUFFER);
     let caller = cx.calls.take_caller(&cx.call.id, Some(tx.clone()))?;
-    let mut answer = Response::new(Chunks::new(rx, caller.guard).boxed_unsync());
-    copy_type(response.headers(), &mut answer);
+    let mut answer = Response::new(ChunkBody::new(rx, caller.guard).boxed_unsync());
+    copy_content_type(response.headers(), &mut answer);
     caller.reply.send(answer).ok()?;
     Some(tx)
 }
 
-async fn read(
+/// Forwards the events of one connection to the caller until the connection, the answer
+/// or the caller ends.
+async fn forward_events(
     cx: &Cx<'_>,
-    passed: &mut Passed,
+    forwarded: &mut Forwarded,
     response: Response<Incoming>,
     tx: &ChunkSender,
-    fruitless: u32,
-) -> Stopped {
+    resumes: u32,
+) -> ReadEnd {
     let mut body = response.into_body();
     let mut reader = EventReader::default();
     loop {
-        // An engine that is slow rather than gone gets longer at each try.
-        let limit = silence_limit(cx, passed) * 2_u32.pow(fruitless);
-        let frame = match timeout(limit, body.frame()).await {
+        // The timeout doubles with each resume, in case the engine is slow but running.
+        let max_silence = silence_timeout(cx, forwarded) * 2_u32.pow(resumes);
+        let frame = match timeout(max_silence, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
-            Ok(Some(Err(_)) | None) => return Stopped::Cut,
-            Err(_) => return Stopped::Silent,
+            Ok(Some(Err(_)) | None) => return ReadEnd::Disconnected,
+            Err(_) => return ReadEnd::TimedOut,
         };
         let Ok(bytes) = frame.into_data() else {
             continue;
         };
         if !reader.push(&bytes) {
-            return Stopped::Cut;
+            return ReadEnd::Disconnected;
         }
         while let Some(bytes) = reader.next_event() {
-            let kind = EventKind::of(&bytes);
+            let kind = EventKind::from_event(&bytes);
             if tx.send(Ok(bytes)).await.is_err() {
-                return Stopped::CallerLeft;
+                return ReadEnd::CallerDisconnected;
             }
             match kind {
                 EventKind::Done => {
-                    learn_gap(cx, passed);
-                    return Stopped::Done;
+                    record_gap(cx, forwarded);
+                    return ReadEnd::Complete;
                 }
-                EventKind::Token => saw_token(cx, passed),
+                EventKind::Token => record_token(cx, forwarded),
                 EventKind::Other => {}
             }
         }
     }
 }
 
-fn silence_limit(cx: &Cx<'_>, passed: &Passed) -> Duration {
-    if passed.tokens == 0 {
+/// Returns how long the connection may be silent before it counts as dead.
+fn silence_timeout(cx: &Cx<'_>, forwarded: &Forwarded) -> Duration {
+    if forwarded.tokens == 0 {
         let prompt_tokens = cx.call.outbound.prompt_tokens;
-        cx.paces.first_token_limit(&cx.call.address, prompt_tokens)
+        cx.latencies
+            .first_token_timeout(&cx.call.address, prompt_tokens)
     } else {
-        cx.paces.gap_limit(&cx.call.address)
+        cx.latencies.gap_timeout(&cx.call.address)
     }
 }
 
-fn saw_token(cx: &Cx<'_>, passed: &mut Passed) {
+fn record_token(cx: &Cx<'_>, forwarded: &mut Forwarded) {
     let now = Instant::now();
-    passed.tokens += 1;
-    if passed.first_at.is_none() {
-        passed.first_at = Some(now);
+    forwarded.tokens += 1;
+    if forwarded.first_at.is_none() {
+        forwarded.first_at = Some(now);
         let after = now.duration_since(cx.started);
         let prompt_tokens = cx.call.outbound.prompt_tokens;
-        cx.paces
-            .saw_first_token(&cx.call.address, prompt_tokens, after);
-        cx.tell(CallProgress::FirstToken);
+        cx.latencies
+            .record_first_token(&cx.call.address, prompt_tokens, after);
+        cx.report(CallProgress::FirstToken);
     }
 }
 
-fn learn_gap(cx: &Cx<'_>, passed: &Passed) {
-    if let Some(first_at) = passed.first_at
-        && passed.tokens > 1
+fn record_gap(cx: &Cx<'_>, forwarded: &Forwarded) {
+    if let Some(first_at) = forwarded.first_at
+        && forwarded.tokens > 1
     {
-        let gap = first_at.elapsed() / (passed.tokens - 1);
-        cx.paces.saw_gap(&cx.call.address, gap);
+        let gap = first_at.elapsed() / (forwarded.tokens - 1);
+        cx.latencies.record_gap(&cx.call.address, gap);
     }
 }
--- a/crates/jaypin/src/calls.rs
+++ b/crates/jaypin/src/calls.rs
@@ -1,4 +1,4 @@
-//! The bodies and callers of requests that the reducer decides on.
+//! Bodies and callers of unfinished requests, which the reducer knows by id only.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,55 +12,55 @@
 
 use crate::answer::{self, AnswerBody, CallerGuard, ChunkSender};
 
-/// What goes to the backend server.
+/// The HTTP request to send to the backend server, and how to read its response.
 #[derive(Debug, Clone)]
 pub struct Outbound {
     /// Method of the call.
     pub method: Method,
     /// Path and query at the backend server.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body to forward.
     pub body: Bytes,
-    /// What the backend server speaks.
+    /// Kind of the service, which determines the protocol of the backend server.
     pub kind: ServiceKind,
-    /// Whether the answer is a stream of server-sent events.
+    /// Whether the caller asked for a stream of server-sent events.
     pub stream: bool,
-    /// Estimated tokens of the prompt.
+    /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Time from dispatch within which an answer that is no stream is due.
-    pub whole: Duration,
-    /// Whether the answer is kept under the call's key.
+    /// Time from dispatch within which a response that is not streamed has to be complete.
+    pub response_due_in: Duration,
+    /// Whether the response is stored under the call's idempotency key.
     pub store_answer: bool,
 }
 
-/// A caller that waits for the head of its answer.
+/// A caller that waits for its response to start.
 #[derive(Debug)]
 pub struct Caller {
-    /// Where the answer goes.
+    /// Channel to the HTTP server task that responds to the caller.
     pub reply: oneshot::Sender<Response<AnswerBody>>,
-    /// Notices when the caller leaves.
+    /// Reports to the reducer when the caller disconnects.
     pub guard: CallerGuard,
 }
 
-/// A call that has not been dispatched.
+/// A call that is not dispatched yet.
 #[derive(Debug)]
 pub struct PendingCall {
-    /// What goes to the backend server.
+    /// Request to send to the backend server.
     pub outbound: Outbound,
-    /// Who waits for it.
+    /// Caller that waits for the response.
     pub caller: Caller,
 }
 
-/// All calls of this host that are not ended.
+/// All unfinished calls of this host.
 #[derive(Debug, Default)]
 pub struct Calls {
-    inner: Mutex<HashMap<RequestId, Entry>>,
+    inner: Mutex<HashMap<RequestId, CallState>>,
 }
 
 #[derive(Debug)]
-enum Entry {
+enum CallState {
     Pending(Box<PendingCall>),
     Running {
         cancel: watch::Sender<bool>,
@@ -70,95 +70,98 @@
 }
 
 impl Calls {
-    /// Puts a call in before the reducer hears of it.
+    /// Adds a call; to be done before the reducer receives the request.
     pub fn insert(&self, id: RequestId, call: PendingCall) {
-        self.lock().insert(id, Entry::Pending(Box::new(call)));
+        self.lock().insert(id, CallState::Pending(Box::new(call)));
     }
 
-    /// Takes the outbound part for its one dispatch; a second time there is none.
+    /// Marks a call as running and returns its request with a receiver that becomes true on
+    /// cancellation; returns `None` if the call is removed or already dispatched.
     pub fn start(&self, id: &RequestId) -> Option<(Outbound, watch::Receiver<bool>)> {
         let mut inner = self.lock();
-        let Some(Entry::Pending(call)) = inner.remove(id) else {
+        let Some(CallState::Pending(call)) = inner.remove(id) else {
             return None;
         };
         let (cancel, cancelled) = watch::channel(false);
         let PendingCall { outbound, caller } = *call;
-        let entry = Entry::Running {
+        let state = CallState::Running {
             cancel,
             caller: Some(caller),
             chunks: None,
         };
-        inner.insert(id.clone(), entry);
+        inner.insert(id.clone(), state);
         Some((outbound, cancelled))
     }
 
-    /// Takes back the outbound part of a call of which no byte was sent.
+    /// Marks a call as pending again, after a dispatch that sent no byte of it.
     pub fn put_back(&self, id: &RequestId, outbound: Outbound) {
         let mut inner = self.lock();
-        if let Some(Entry::Running {
+        if let Some(CallState::Running {
             caller: Some(caller),
             ..
         }) = inner.remove(id)
         {
             let call = PendingCall { outbound, caller };
-            inner.insert(id.clone(), Entry::Pending(Box::new(call)));
+            inner.insert(id.clone(), CallState::Pending(Box::new(call)));
         }
     }
 
-    /// Takes the caller to send it the head; chunks go through `tx` from then on.
+    /// Takes the caller, to whom the response can then be sent, and stores the sender of its
+    /// chunks if the response is a stream.
     pub fn take_caller(&self, id: &RequestId, tx: Option<ChunkSender>) -> Option<Caller> {
         match self.lock().get_mut(id)? {
-            Entry::Running { caller, chunks, .. } => {
+            CallState::Running { caller, chunks, .. } => {
                 *chunks = tx;
                 caller.take()
             }
-            Entry::Pending(_) => None,
+            CallState::Pending(_) => None,
         }
     }
 
-    /// Tells a running call to stop, and drops one that was not dispatched.
+    /// Signals a running call to stop, and drops a call that is not dispatched.
     pub fn cancel(&self, id: &RequestId) {
         let mut inner = self.lock();
         match inner.get(id) {
-            Some(Entry::Running { cancel, .. }) => {
+            Some(CallState::Running { cancel, .. }) => {
                 cancel.send_replace(true);
             }
-            Some(Entry::Pending(_)) => {
-                let dropped = inner.remove(id);
-                // The guard inside sends an event; no lock is held then.
+            Some(CallState::Pending(_)) => {
+                let call = inner.remove(id);
+                // The call is dropped after the lock, because its guard sends an event.
                 drop(inner);
-                drop(dropped);
+                drop(call);
             }
             None => {}
         }
     }
 
-    /// Drops a call that is over.
+    /// Drops a finished call.
     pub fn remove(&self, id: &RequestId) {
         self.lock().remove(id);
     }
 
-    /// Answers with what the key's call was answered before.
+    /// Answers a call with the stored answer of the earlier call that had the same key.
     pub fn replay(&self, id: &RequestId, stored: &StoredAnswer) {
-        if let Some(Entry::Pending(call)) = self.lock().remove(id) {
+        if let Some(CallState::Pending(call)) = self.lock().remove(id) {
             let mut caller = call.caller;
             caller.guard.disarm();
             let _ = caller.reply.send(answer::replayed(stored));
         }
     }
 
-    /// Ends a call with a refusal: as the answer, or as the marked end of a stream.
+    /// Ends a call with a refusal, which is sent as the response or, if a stream has begun,
+    /// as an error event at its end.
     pub fn refuse(&self, id: &RequestId, refusal: &Refusal) {
         let caller = match self.lock().remove(id) {
-            Some(Entry::Pending(call)) => Some(call.caller),
-            Some(Entry::Running {
+            Some(CallState::Pending(call)) => Some(call.caller),
+            Some(CallState::Running {
                 caller: Some(caller),
                 ..
             }) => Some(caller),
-            Some(Entry::Running {
+            Some(CallState::Running {
                 chunks: Some(tx), ..
             }) => {
-                end_stream(tx, refusal);
+                abort_stream(tx, refusal);
                 None
             }
             _ => None,
@@ -169,14 +172,14 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<RequestId, Entry>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<RequestId, CallState>> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A stream that can't be completed ends in a marked error and a broken connection,
-/// so that no caller takes half an answer for a whole one.
-fn end_stream(tx: ChunkSender, refusal: &Refusal) {
+/// Ends a stream that can't be completed with an error event and then closes the
+/// connection abnormally, so that no caller mistakes a partial answer for a complete one.
+fn abort_stream(tx: ChunkSender, refusal: &Refusal) {
     let event = answer::error_event(refusal);
     tokio::spawn(async move {
         let _ = tx.send(Ok(event)).await;
--- a/crates/jaypin/src/frontend/read_request.rs
+++ b/crates/jaypin/src/frontend/read_request.rs
@@ -229,7 +229,7 @@
         kind: ServiceKind::Engine,
         stream: call.stream,
         prompt_tokens: info.prompt_tokens,
-        whole: info.response_due_in,
+        response_due_in: info.response_due_in,
         store_answer: false,
     };
     Ok((info, outbound))
@@ -296,7 +296,7 @@
         kind: ServiceKind::Plain,
         stream: false,
         prompt_tokens: info.prompt_tokens,
-        whole: info.response_due_in,
+        response_due_in: info.response_due_in,
         store_answer: route.repeat == Repeat::Never,
     };
     Ok((info, outbound))
--- a/crates/jaypin/src/links/mod.rs
+++ b/crates/jaypin/src/links/mod.rs
@@ -84,7 +84,7 @@
     }
 
     /// Keeps links to these peers from now on.
-    pub fn keep(&self, peers: Vec<HostId>) {
+    pub fn set_permanent_peers(&self, peers: Vec<HostId>) {
         self.shared.keep.send_replace(peers.into_iter().collect());
     }
 
--- a/crates/jaypin/src/metrics/mod.rs
+++ b/crates/jaypin/src/metrics/mod.rs
@@ -82,7 +82,7 @@
 }
 
 /// Takes the time between two chunks of a stream on their way to a caller.
-pub fn gap(time: Duration) {
+pub fn record_chunk_gap(time: Duration) {
     INSTRUMENTS.gap.record(time.as_secs_f64(), &[]);
 }
 
--- a/crates/jaypin/src/platform.rs
+++ b/crates/jaypin/src/platform.rs
@@ -166,7 +166,7 @@
                 known,
                 |version, object: RulesObject| {
                     let text = whole_text(&rules_client, version, &object, &rules_control);
-                    let events = text.map_or_else(Vec::new, |text| read_rules(version, &text));
+                    let events = text.map_or_else(Vec::new, |text| parse_rules(version, &text));
                     events
                         .into_iter()
                         .all(|event| rules_events.send(event).is_ok())
@@ -239,7 +239,7 @@
 }
 
 /// Reads a rule file, whoever it came from; gives nothing when it is wrong.
-pub fn read_rules(version: u64, text: &str) -> Vec<Event> {
+pub fn parse_rules(version: u64, text: &str) -> Vec<Event> {
     match jaypin_rules::parse(text) {
         Ok(rules) => {
             log::info!(version; "rules read");
--- a/crates/jaypin/src/reducer_task.rs
+++ b/crates/jaypin/src/reducer_task.rs
@@ -1,4 +1,5 @@
-//! The thread that owns the reducer: events in, effects out, one at a time.
+//! The thread that owns the reducer: it applies events one at a time and executes the
+//! resulting effects.
 
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -12,13 +13,13 @@
 
 use crate::snapshot::Snapshot;
 
-/// How often the reducer hears of time.
+/// Interval between tick events, which drive all of the reducer's timeouts.
 const TICK: Duration = Duration::from_millis(20);
 
-/// How often the shards are shown anew.
+/// Interval at which shard reports and suspect counts are published.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Starts the thread; it ends when every sender of events is gone.
+/// Starts the thread, which ends when every sender of events is dropped.
 pub fn spawn(
     reducer: Reducer,
     events: Receiver<Event>,
@@ -38,14 +39,14 @@
     handle: &Handle,
     mut run: impl FnMut(Effect),
 ) {
-    // The runtime's clock and timers, which tests pause and advance.
+    // Makes `Instant::now` use the runtime's clock, which tests can pause and advance.
     let _guard = handle.enter();
     let mut next_tick = Instant::now();
     let mut next_report = Instant::now();
     let mut snapshot = Snapshot::default();
     loop {
-        // A channel that is never empty must not keep the tick away: without ticks
-        // nothing times out.
+        // A channel that is never empty must not delay the tick, since no timeout fires
+        // without ticks.
         let wait = next_tick.saturating_duration_since(Instant::now());
         if wait.is_zero() {
             next_tick = Instant::now() + TICK;
@@ -55,7 +56,7 @@
             publish(&reducer, &mut snapshot, snapshots);
             if Instant::now() >= next_report {
                 next_report = Instant::now() + REPORT_INTERVAL;
-                report(&reducer, &mut snapshot, snapshots);
+                publish_reports(&reducer, &mut snapshot, snapshots);
             }
             continue;
         }
@@ -65,7 +66,7 @@
             Err(RecvTimeoutError::Disconnected) => return,
         };
         let effects = reducer.apply(Instant::now().into_std(), event);
-        // Effects look addresses up in what is published.
+        // Effects look up addresses in the snapshot, so it is published before they run.
         publish(&reducer, &mut snapshot, snapshots);
         for effect in effects {
             run(effect);
@@ -73,8 +74,13 @@
     }
 }
 
-/// Shows shards and suspects; too dear for every event.
-fn report(reducer: &Reducer, last: &mut Snapshot, snapshots: &watch::Sender<Arc<Snapshot>>) {
+/// Publishes shard reports and suspect counts, which are too costly to compute after
+/// every event.
+fn publish_reports(
+    reducer: &Reducer,
+    last: &mut Snapshot,
+    snapshots: &watch::Sender<Arc<Snapshot>>,
+) {
     let shards = reducer.shard_reports(Instant::now().into_std());
     let suspects = reducer.suspect_counts();
     if shards != *last.shards || suspects != last.suspects {
@@ -84,6 +90,7 @@
     }
 }
 
+/// Publishes a new snapshot if the reducer's summary or its membership changed.
 fn publish(reducer: &Reducer, last: &mut Snapshot, snapshots: &watch::Sender<Arc<Snapshot>>) {
     let summary = reducer.summary();
     let members = reducer.membership();
--- a/crates/jaypin/src/runner.rs
+++ b/crates/jaypin/src/runner.rs
@@ -1,4 +1,4 @@
-//! Carries out the reducer's effects; nothing here waits.
+//! Executes the effects that the reducer returns, without blocking its thread.
 
 use std::sync::Arc;
 
@@ -6,40 +6,41 @@
 use jaypin_core::{CallProgress, Effect, Event};
 use tokio::sync::{Notify, watch};
 
-use crate::backend_call::{self, Paces};
+use crate::backend_call::{self, LatencyEstimates};
 use crate::calls::Calls;
 use crate::decisions::Decisions;
 use crate::links::Links;
-use crate::platform::read_rules;
+use crate::platform::parse_rules;
 
-/// Everything that effects touch.
+/// Executes effects, with handles to every component that an effect acts on.
 #[derive(Debug, Clone)]
-pub struct Runner {
-    /// Calls of this host.
+pub struct EffectRunner {
+    /// Unfinished calls of this host.
     pub calls: Arc<Calls>,
-    /// How long backend servers are usually silent.
-    pub paces: Arc<Paces>,
+    /// Latency estimates of backend servers, from which timeouts follow.
+    pub latencies: Arc<LatencyEstimates>,
     /// Links to peers.
     pub links: Links,
-    /// Records of this host's requests.
+    /// Decision records of this host's requests.
     pub decisions: Arc<Decisions>,
-    /// Where news goes.
+    /// Channel that carries events to the reducer.
     pub events: Sender<Event>,
-    /// Whether this host holds the platform's watches.
+    /// Set to whether this host watches the platform.
     pub watching: watch::Sender<bool>,
-    /// Told when nothing is left to do.
+    /// Notified when the drain is complete and the process can exit.
     pub exit: Arc<Notify>,
 }
 
-impl Runner {
-    /// Carries out one effect.
+impl EffectRunner {
+    /// Executes one effect.
     pub fn run(&self, effect: Effect) {
         match effect {
             Effect::Dispatch {
                 id, address, fence, ..
             } => {
                 let Some((outbound, cancelled)) = self.calls.start(&id) else {
-                    // The caller left and took the body along; the slot goes back.
+                    // The caller disconnected, which dropped the body; reporting the call as
+                    // not sent returns the slot.
                     let progress = CallProgress::NotSent;
                     let _ = self.events.send(Event::Call { id, progress });
                     return;
@@ -54,7 +55,7 @@
                 tokio::spawn(backend_call::run(
                     call,
                     self.calls.clone(),
-                    self.paces.clone(),
+                    self.latencies.clone(),
                     self.events.clone(),
                 ));
             }
@@ -62,16 +63,16 @@
             Effect::Replay { id, answer } => self.calls.replay(&id, &answer),
             Effect::Cancel(id) => self.calls.cancel(&id),
             Effect::Send { to, message } => self.links.send(&to, message),
-            Effect::KeepLinks(peers) => self.links.keep(peers),
+            Effect::KeepLinks(peers) => self.links.set_permanent_peers(peers),
             Effect::WatchPlatform(on) => {
                 self.watching.send_replace(on);
             }
             Effect::ParseRules { version, text } => {
                 let events = self.events.clone();
-                // Parsing the rules of 17,000 accounts takes a sixth of a second; the
-                // reducer's thread must not stand still for it.
+                // Parsing the rules of 17,000 accounts takes about 170 ms, which would
+                // stall the reducer's thread.
                 tokio::task::spawn_blocking(move || {
-                    for event in read_rules(version, &text) {
+                    for event in parse_rules(version, &text) {
                         let _ = events.send(event);
                     }
                 });
--- a/crates/jaypin/src/serve.rs
+++ b/crates/jaypin/src/serve.rs
@@ -16,7 +16,7 @@
 use crate::frontend::Frontend;
 use crate::links::{Identity, Links};
 use crate::operator::Operator;
-use crate::runner::Runner;
+use crate::runner::EffectRunner;
 use crate::settings::Settings;
 use crate::snapshot::Snapshot;
 use crate::{frontend, platform, reducer_task};
@@ -67,10 +67,10 @@
     let calls = Arc::new(Calls::default());
     let decisions = Arc::new(Decisions::new(snapshots.clone()));
     let watching = watch::Sender::new(true);
-    let runner = Runner {
+    let runner = EffectRunner {
         decisions: decisions.clone(),
         calls: calls.clone(),
-        paces: Arc::default(),
+        latencies: Arc::default(),
         links: links.clone(),
         events: events.clone(),
         watching: watching.clone(),
