--- a/crates/jaypin/src/decisions/ring.rs
+++ b/crates/jaypin/src/decisions/buffer.rs
@@ -1,35 +1,37 @@
-//! Records by request, bounded in number and bytes; the oldest give way.
+//! Buffer of decision records that is bounded in number and bytes; the oldest records are
+//! evicted first.
 
 use std::collections::{HashMap, VecDeque};
 
 use jaypin_core::RequestId;
 use jaypin_wire::{ExplainBody, ExplainStep, StepBody};
 
-/// Requests that are kept.
+/// Largest number of records.
 const MAX_REQUESTS: usize = 20_000;
-/// Bytes that ended ones may take.
+/// Largest total size of the records of ended requests, in bytes.
 const MAX_BYTES: usize = 16 * 1024 * 1024;
-/// Steps of one request; one that asks for slots for minutes has no more.
+/// Largest number of steps in a record; it bounds the record of a request that keeps
+/// requesting slots for minutes.
 const MAX_STEPS: usize = 64;
 
-/// Records by request.
+/// Records by request, with the order in which they were inserted.
 #[derive(Debug, Default)]
-pub struct Ring {
-    records: HashMap<RequestId, Kept>,
+pub struct RecordBuffer {
+    records: HashMap<RequestId, StoredRecord>,
     order: VecDeque<RequestId>,
     bytes: usize,
 }
 
-/// A record as it is kept.
+/// A record in memory.
 #[derive(Debug)]
-enum Kept {
-    /// The request goes on.
+enum StoredRecord {
+    /// The request is in progress.
     Open(Box<ExplainBody>),
-    /// It ended: as JSON, whose bytes are counted exactly.
+    /// The request ended; the record is JSON, so that its size is known exactly.
     Closed(Box<[u8]>),
 }
 
-impl Kept {
+impl StoredRecord {
     fn bytes(&self) -> usize {
         match self {
             Self::Open(_) => 0,
@@ -45,50 +47,51 @@
     }
 }
 
-impl Ring {
-    /// Takes a new record, and lets the oldest go for it.
+impl RecordBuffer {
+    /// Inserts a record and evicts the oldest ones if a bound is exceeded.
     pub fn insert(&mut self, id: RequestId, body: ExplainBody) {
-        let kept = Kept::Open(Box::new(body));
-        if let Some(old) = self.records.insert(id.clone(), kept) {
+        let stored = StoredRecord::Open(Box::new(body));
+        if let Some(old) = self.records.insert(id.clone(), stored) {
             self.bytes -= old.bytes();
         } else {
             self.order.push_back(id);
         }
         while self.order.len() > MAX_REQUESTS || self.bytes > MAX_BYTES {
-            self.drop_oldest();
+            self.evict_oldest();
         }
     }
 
-    /// Adds a step, when the record is there still; gives the request's tier.
+    /// Adds a step if the record still exists, and returns the request's tier.
     pub fn add(&mut self, id: &str, step: ExplainStep) -> Option<String> {
-        let kept = self.records.get_mut(id)?;
-        if let Kept::Open(body) = kept
-            && !ends(&step.what)
+        let stored = self.records.get_mut(id)?;
+        if let StoredRecord::Open(body) = stored
+            && !is_final(&step.what)
         {
             push(body, step);
             return Some(body.tier.clone());
         }
-        // A step behind the end, such as the refusal after a lost call, opens it again.
-        let mut body = kept.body()?;
+        // A final step closes the record. A closed record can still receive steps, such as the
+        // refusal after a lost call, for which it is decoded and encoded again.
+        let mut body = stored.body()?;
         push(&mut body, step);
         let json = serde_json::to_vec(&body).ok()?;
-        self.bytes -= kept.bytes();
+        self.bytes -= stored.bytes();
         self.bytes += json.len();
-        *kept = Kept::Closed(json.into_boxed_slice());
+        *stored = StoredRecord::Closed(json.into_boxed_slice());
         Some(body.tier)
     }
 
-    /// Finds a record.
+    /// Returns a record.
     pub fn find(&self, id: &str) -> Option<ExplainBody> {
         self.records.get(id)?.body()
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some(id) = self.order.pop_front() else {
             return;
         };
-        if let Some(kept) = self.records.remove(&id) {
-            self.bytes -= kept.bytes();
+        if let Some(stored) = self.records.remove(&id) {
+            self.bytes -= stored.bytes();
         }
     }
 }
@@ -99,6 +102,6 @@
     }
 }
 
-fn ends(step: &StepBody) -> bool {
+fn is_final(step: &StepBody) -> bool {
     matches!(step, StepBody::Finished { .. } | StepBody::Refused { .. })
 }
--- a/crates/jaypin/src/decisions/mod.rs
+++ b/crates/jaypin/src/decisions/mod.rs
@@ -1,7 +1,8 @@
-//! Decision records: kept for a while in memory, and written to the structured log.
+//! Decision records of requests, held in memory for a limited time and written to the
+//! structured log.
 
+mod buffer;
 mod owner;
-mod ring;
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,30 +13,34 @@
 
 use crate::metrics;
 use crate::snapshot::Snapshot;
-use ring::Ring;
+use buffer::RecordBuffer;
 
 pub use owner::RequestOwner;
 
-/// The records of the requests that this host owns.
+/// Records of the requests that this host owns.
 #[derive(Debug)]
 pub struct Decisions {
     snapshots: watch::Receiver<Arc<Snapshot>>,
-    ring: Mutex<Ring>,
+    buffer: Mutex<RecordBuffer>,
 }
 
 impl Decisions {
-    /// Starts without a record.
+    /// Creates an empty store; the snapshots provide the rules that records refer to.
     pub fn new(snapshots: watch::Receiver<Arc<Snapshot>>) -> Self {
-        let ring = Mutex::default();
-        Self { snapshots, ring }
+        let buffer = Mutex::default();
+        Self { snapshots, buffer }
     }
 
-    /// Begins a record with the rules that the request was read by.
+    /// Creates the record of a request, with the rules that apply to it.
     ///
-    /// They are named now, because a later version may have other rules in their lines.
+    /// The rules are resolved to their names here, because another rule may stand on the
+    /// same line in a later version.
     pub fn begin(&self, info: &RequestInfo, snapshot: &Snapshot) {
         let rules = &snapshot.rules;
-        let applied = info.rule_lines.iter().map(|line| applied(rules, *line));
+        let applied = info
+            .rule_lines
+            .iter()
+            .map(|line| applied_rule(rules, *line));
         let tier = rules.tier_by_rank(info.tier);
         let body = ExplainBody {
             request_id: info.id.to_string(),
@@ -49,42 +54,45 @@
         self.lock().insert(info.id.clone(), body);
     }
 
-    /// Adds a step to its request's record.
+    /// Writes a step to the log, adds it to the record of its request and counts it.
     pub fn add(&self, record: &Record) {
-        write_down(record);
+        log_step(record);
         let mut step = StepBody::from(&record.step);
         if let StepBody::Refused {
             rule: Some(rule), ..
         } = &mut step
         {
-            *rule = applied(&self.snapshots.borrow().rules, rule.line);
+            *rule = applied_rule(&self.snapshots.borrow().rules, rule.line);
         }
         let step = ExplainStep::new(record.after, step);
         let tier = self.lock().add(&record.id, step);
         metrics::step(&tier.unwrap_or_default(), record.after, &record.step);
     }
 
-    /// Finds the record of a request.
+    /// Returns the record of a request, if it is still held.
     pub fn find(&self, id: &str) -> Option<ExplainBody> {
         self.lock().find(id)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Ring> {
-        self.ring.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, RecordBuffer> {
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn applied(rules: &RuleSet, line: u32) -> AppliedRule {
-    let found = rules.rule_at(line);
+/// Returns the rule on a line with its name and requester, which are empty if the line holds
+/// no rule.
+fn applied_rule(rules: &RuleSet, line: u32) -> AppliedRule {
+    let rule = rules.rule_at(line);
     AppliedRule {
         line,
-        rule: found.as_ref().map_or(String::new(), |it| it.name.clone()),
-        asked_by: found.map(|it| it.origin.requester.clone()),
+        rule: rule.as_ref().map_or(String::new(), |it| it.name.clone()),
+        asked_by: rule.map(|it| it.origin.requester.clone()),
     }
 }
 
-/// The log keeps what memory lets go of, and what a host takes along when it dies.
-fn write_down(record: &Record) {
+/// Writes a step to the log, which retains records that are evicted from memory or lost in
+/// a crash of the host.
+fn log_step(record: &Record) {
     let after_us = u64::try_from(record.after.as_micros()).unwrap_or(u64::MAX);
     match &record.step {
         Step::Refused(refusal) => log::info!(
--- a/crates/jaypin/src/decisions/owner.rs
+++ b/crates/jaypin/src/decisions/owner.rs
@@ -1,17 +1,18 @@
-//! Which host owns a request: its id says so.
+//! The host that owns a request, as read from the request's id.
 
-/// Host and run of its process, as a request's id names them.
+/// Host that owns a request and incarnation of its process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestOwner<'a> {
-    /// The host.
+    /// Id of the host.
     pub host: &'a str,
-    /// The run of its process.
+    /// Incarnation of the host's process that accepted the request.
     pub incarnation: u64,
 }
 
 impl<'a> RequestOwner<'a> {
-    /// Reads the owner from an id, `HOST-INCARNATION-COUNT`; hosts may have dashes.
-    pub fn of(id: &'a str) -> Option<Self> {
+    /// Parses an id of the form `HOST-INCARNATION-COUNT`, in which the host may contain
+    /// dashes.
+    pub fn from_request_id(id: &'a str) -> Option<Self> {
         let mut parts = id.rsplitn(3, '-');
         parts.next()?.parse::<u64>().ok()?;
         let incarnation = parts.next()?.parse().ok()?;
--- a/crates/jaypin/src/frontend/connections.rs
+++ b/crates/jaypin/src/frontend/connections.rs
@@ -1,21 +1,21 @@
-//! Bounds on callers' connections: silent ones make room for those that speak.
+//! Bounds on callers' connections; connections without a request are closed first.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use tokio::sync::Notify;
 
-/// Connections open at once; a newer one is closed when none can make room for it.
+/// Largest number of open connections; beyond it new ones are closed at once.
 const MAX_OPEN: usize = 6_000;
-/// Connections that may be open without ever having sent a request.
+/// Largest number of open connections that never sent a request.
 const MAX_SILENT: usize = 1_000;
 
 /// All open connections of the callers' listener.
 ///
-/// Guards against callers that connect and send nothing. They show as open sockets
-/// without a request, and would keep others out once the process has as many as it may.
-/// The oldest silent one is closed for each new one beyond the bound: a caller that means
-/// it sends its header at once and counts as silent for a moment only.
+/// Callers that connect and send nothing hold open sockets without a request, and would
+/// keep others out once the process reaches its limit of connections. Beyond
+/// [`MAX_SILENT`], the oldest silent connection is closed for each new one. A proper caller
+/// sends its header at once and is silent for a moment only.
 #[derive(Debug, Clone, Default)]
 pub struct Connections {
     inner: Arc<Mutex<Inner>>,
@@ -28,7 +28,7 @@
     silent: BTreeMap<u64, Arc<Notify>>,
 }
 
-/// One open connection; dropping it makes room.
+/// One open connection, which stops counting when it is dropped.
 #[derive(Debug)]
 pub struct Connection {
     number: u64,
@@ -37,7 +37,7 @@
 }
 
 impl Connections {
-    /// Takes a new connection in, or gives nothing when there is no room.
+    /// Registers a new connection, or returns `None` if too many are open.
     pub fn admit(&self) -> Option<Connection> {
         let mut inner = self.lock();
         if inner.silent.len() >= MAX_SILENT
@@ -66,12 +66,13 @@
 }
 
 impl Connection {
-    /// The caller sent a request, so the connection is not silent any more.
-    pub fn spoke(&self) {
+    /// Records that the caller sent a request, so that the connection is not evicted as
+    /// silent.
+    pub fn mark_active(&self) {
         self.all.lock().silent.remove(&self.number);
     }
 
-    /// Ends when the connection has to make room for another.
+    /// Completes when the connection is evicted in favour of a newer one.
     pub async fn evicted(&self) {
         self.closed.notified().await;
     }
--- a/crates/jaypin/src/frontend/own_record.rs
+++ b/crates/jaypin/src/frontend/explain.rs
@@ -1,7 +1,7 @@
-//! `GET /v1/explain/ID`: a caller asks for the record of its own request.
+//! `GET /v1/explain/ID`, which returns to a caller the decision record of its own request.
 //!
-//! A record of another account, one that is gone and one that never was get the same
-//! answer, so nobody learns of another's requests.
+//! The response is the same for a record of another account, an evicted record and an unknown
+//! id, so that no account learns of another's requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,18 +22,19 @@
 use crate::decisions::RequestOwner;
 use crate::snapshot::Snapshot;
 
-/// Path below which callers find their records.
-pub const EXPLAIN: &str = "/v1/explain/";
-/// Time for the owner to answer.
+/// Path prefix of decision records; the request id follows it.
+pub const EXPLAIN_PATH: &str = "/v1/explain/";
+/// Longest time for the host that owns the request to respond.
 const OWNER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest record, in bytes.
 const MAX_RECORD: usize = 256 * 1024;
-/// Header of a question that another host passed on, so that it goes no further.
-const PASSED_ON: &str = "x-jaypin-passed-on";
+/// Header of a request that another host forwarded, which is not forwarded again.
+const FORWARDED: &str = "x-jaypin-passed-on";
 
 impl Frontend {
-    /// Answers with the record of a request of the caller's account.
-    pub(super) async fn own_record(
+    /// Responds with the record of a request of the caller's account, which is fetched from
+    /// the host that owns the request if that is another one.
+    pub(super) async fn explain(
         &self,
         headers: &HeaderMap,
         path: &str,
@@ -43,34 +44,37 @@
             Ok(caller) => caller,
             Err(error) => return error.answer(false),
         };
-        let id = &path[EXPLAIN.len()..];
+        let id = &path[EXPLAIN_PATH.len()..];
         let own = self.shared.decisions.find(id);
         if let Some(body) = own.filter(|body| body.account == *caller.account) {
             return json(StatusCode::OK, &body.for_caller());
         }
-        let owner = RequestOwner::of(id).filter(|owner| owner.host != &*self.shared.host);
+        let owner =
+            RequestOwner::from_request_id(id).filter(|owner| owner.host != &*self.shared.host);
         let address = owner.and_then(|owner| {
             let mut hosts = snapshot.hosts.hosts.iter();
             let record = hosts.find(|host| &*host.id == owner.host)?;
             record.address.parse::<SocketAddr>().ok()
         });
         match (address, headers.get(AUTHORIZATION)) {
-            (Some(address), Some(credential)) if !headers.contains_key(PASSED_ON) => {
-                let asked = timeout(OWNER_TIMEOUT, ask_owner(address, path, credential)).await;
-                asked.ok().flatten().unwrap_or_else(none_of_yours)
+            (Some(address), Some(credential)) if !headers.contains_key(FORWARDED) => {
+                let fetched =
+                    timeout(OWNER_TIMEOUT, fetch_from_owner(address, path, credential)).await;
+                fetched.ok().flatten().unwrap_or_else(record_not_found)
             }
-            _ => none_of_yours(),
+            _ => record_not_found(),
         }
     }
 }
 
-fn none_of_yours() -> Response<AnswerBody> {
+fn record_not_found() -> Response<AnswerBody> {
     let message = "no request of yours with this id is remembered";
     rejected(StatusCode::NOT_FOUND, "no-record", Ran::NotRun, message)
 }
 
-/// Asks the owner with the caller's own credential, so the owner decides what it sees.
-async fn ask_owner(
+/// Fetches the record from its owner with the caller's credential, so that the owner decides
+/// what the caller may see.
+async fn fetch_from_owner(
     address: SocketAddr,
     path: &str,
     credential: &HeaderValue,
@@ -81,7 +85,7 @@
     let req = Request::get(path)
         .header(HOST, address.to_string())
         .header(AUTHORIZATION, credential)
-        .header(PASSED_ON, "1")
+        .header(FORWARDED, "1")
         .body(Empty::<Bytes>::new())
         .ok()?;
     let (head, body) = sender.send_request(req).await.ok()?.into_parts();
--- a/crates/jaypin/src/frontend/mod.rs
+++ b/crates/jaypin/src/frontend/mod.rs
@@ -1,11 +1,11 @@
-//! HTTP towards callers.
+//! HTTP server for callers.
 //!
-//! `hyper` serves it, not `tiny_http`: a caller that never ends its header must not
-//! hold the host (see `docs/design/http-library.md`).
+//! It uses `hyper` instead of `tiny_http`, so that a caller that never completes its header
+//! can't block the host (see `docs/design/http-library.md`).
 
+mod address_list;
 mod connections;
-mod entry;
-mod own_record;
+mod explain;
 mod read_request;
 
 use std::convert::Infallible;
@@ -30,31 +30,32 @@
 use crate::calls::{Caller, Calls, PendingCall};
 use crate::decisions::Decisions;
 use crate::snapshot::Snapshot;
+use address_list::AddressListOrder;
 use connections::{Connection, Connections};
-use entry::EntryOrder;
-use own_record::EXPLAIN;
-use read_request::{ReadError, has_key, read};
+use explain::EXPLAIN_PATH;
+use read_request::{ReadError, has_key, read_request};
 
-/// Connections that may wait to be accepted: bursts of callers come at once.
+/// Connections that may wait to be accepted, large enough for bursts of callers.
 const BACKLOG: i32 = 4_096;
-/// Time for a caller to send its whole header.
+/// Longest time for a caller to send its complete header.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Largest header, in bytes.
-const MAX_HEADER: usize = 16 * 1024;
-/// Pause after a connection could not be accepted.
+const MAX_HEADER_BYTES: usize = 16 * 1024;
+/// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// Time without an answer after which a silent caller's connection is given up.
+/// Time without an acknowledgement of sent bytes after which a connection is closed.
 const USER_TIMEOUT: Duration = Duration::from_secs(20);
 /// Idle time before the first keep-alive probe.
 const KEEPALIVE: Duration = Duration::from_secs(15);
 
-/// Opens the callers' listener.
+/// Opens the listening socket for callers.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
-    // Accepted sockets inherit both. They end connections that go silent towards
-    // callers: no FIN arrives, writes pile up, and the call would be kept for good.
+    // Accepted sockets inherit keep-alive and user timeout. Both close connections that
+    // went silent: no FIN arrives on them, writes pile up, and without a timeout the call
+    // would never end.
     socket.set_tcp_keepalive(
         &TcpKeepalive::new()
             .with_time(KEEPALIVE)
@@ -66,7 +67,7 @@
     TcpListener::from_std(socket.into())
 }
 
-/// The frontend of one host.
+/// HTTP server of one host, which turns callers' requests into events for the reducer.
 #[derive(Debug, Clone)]
 pub struct Frontend {
     shared: Arc<Shared>,
@@ -81,11 +82,11 @@
     decisions: Arc<Decisions>,
     events: Sender<Event>,
     next_id: AtomicU64,
-    entry_order: EntryOrder,
+    address_list_order: AddressListOrder,
 }
 
 impl Frontend {
-    /// Puts the frontend together.
+    /// Creates a frontend with its connections to the rest of the process.
     pub fn new(
         host: HostId,
         incarnation: u64,
@@ -103,7 +104,7 @@
             decisions,
             events,
             next_id,
-            entry_order: EntryOrder::default(),
+            address_list_order: AddressListOrder::default(),
         };
         Self {
             shared: Arc::new(shared),
@@ -115,7 +116,7 @@
         let connections = Connections::default();
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                // Out of file descriptors, for example: others have to close first.
+                // The process may be out of file descriptors, until other connections close.
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             };
@@ -128,16 +129,16 @@
 
     async fn serve(self, stream: TcpStream, connection: Arc<Connection>) {
         let _ = stream.set_nodelay(true);
-        let speaker = connection.clone();
+        let request_connection = connection.clone();
         let service = service_fn(move |req| {
-            speaker.spoke();
+            request_connection.mark_active();
             let frontend = self.clone();
-            async move { Ok::<_, Infallible>(frontend.answer(req).await) }
+            async move { Ok::<_, Infallible>(frontend.handle(req).await) }
         });
         let served = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(HEADER_TIMEOUT)
-            .max_buf_size(MAX_HEADER)
+            .max_buf_size(MAX_HEADER_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         tokio::select! {
             _ = served => {}
@@ -145,28 +146,30 @@
         }
     }
 
-    async fn answer(&self, req: Request<Incoming>) -> Response<AnswerBody> {
+    /// Handles one HTTP request.
+    async fn handle(&self, req: Request<Incoming>) -> Response<AnswerBody> {
         let snapshot = self.shared.snapshots.borrow().clone();
         if req.uri().path() == "/v1/entry" {
             return match *req.method() {
-                Method::GET => json(StatusCode::OK, &self.entry(&snapshot, &req)),
+                Method::GET => json(StatusCode::OK, &self.address_list(&snapshot, &req)),
                 _ => ReadError::Method.answer(false),
             };
         }
-        if req.method() == Method::GET && req.uri().path().starts_with(EXPLAIN) {
+        if req.method() == Method::GET && req.uri().path().starts_with(EXPLAIN_PATH) {
             let path = req.uri().path();
-            return self.own_record(req.headers(), path, &snapshot).await;
+            return self.explain(req.headers(), path, &snapshot).await;
         }
-        let may_be_second_try = has_key(req.headers());
-        match read(req, &snapshot, || self.new_id()).await {
+        let may_be_retry = has_key(req.headers());
+        match read_request(req, &snapshot, || self.new_id()).await {
             Ok((info, outbound)) => {
                 self.shared.decisions.begin(&info, &snapshot);
                 self.submit(info, outbound).await
             }
-            Err(error) => error.answer(may_be_second_try),
+            Err(error) => error.answer(may_be_retry),
         }
     }
 
+    /// Hands a request to the reducer and waits until its response starts.
     async fn submit(
         &self,
         info: jaypin_core::RequestInfo,
@@ -174,8 +177,9 @@
     ) -> Response<AnswerBody> {
         let id = info.id.clone();
         let (reply, answer) = oneshot::channel();
-        // Dropped with this future when the caller leaves before the head.
-        let mut watcher = CallerGuard::new(id.clone(), self.shared.events.clone());
+        // `hyper` drops this future, and so the guard, when the caller disconnects before
+        // the response head.
+        let mut disconnect_guard = CallerGuard::new(id.clone(), self.shared.events.clone());
         let guard = CallerGuard::new(id.clone(), self.shared.events.clone());
         let call = PendingCall {
             outbound,
@@ -184,7 +188,7 @@
         self.shared.calls.insert(id.clone(), call);
         let _ = self.shared.events.send(Event::Arrived(info));
         let answer = answer.await;
-        watcher.disarm();
+        disconnect_guard.disarm();
         let mut response = answer.unwrap_or_else(|_| {
             let lost = jaypin_core::Refusal::after_dispatch(
                 jaypin_core::Reason::BackendLost,
@@ -203,7 +207,8 @@
         format!("{}-{}-{count}", self.shared.host, self.shared.incarnation).into()
     }
 
-    fn entry(&self, snapshot: &Snapshot, req: &Request<Incoming>) -> EntryBody {
+    /// Returns the address list for a caller.
+    fn address_list(&self, snapshot: &Snapshot, req: &Request<Incoming>) -> EntryBody {
         let caller = req
             .headers()
             .get("authorization")
@@ -212,7 +217,7 @@
         let live = &snapshot.live_hosts;
         let ordered = self
             .shared
-            .entry_order
+            .address_list_order
             .order(live, caller.unwrap_or_default(), near);
         let addresses = ordered
             .into_iter()
@@ -223,7 +228,7 @@
             .collect();
         EntryBody {
             addresses,
-            valid_for_s: entry::VALID_FOR.as_secs(),
+            valid_for_s: address_list::VALID_FOR.as_secs(),
             host: self.shared.host.to_string(),
             incarnation: self.shared.incarnation.to_string(),
             key_prefix: IdempotencyKey::prefix(
@@ -235,18 +240,23 @@
     }
 }
 
-/// The caller's failure domain, where its query names one.
+/// Returns the caller's failure domain if its query names one.
 fn failure_domain(query: &str) -> Option<&str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find_map(|(name, value)| (name == "failure-domain").then_some(value))
 }
 
 impl ReadError {
-    /// Guards against a "not run" for a key that ran: a call with a key may be the second
-    /// try of one that ran elsewhere, under a whole body or under newer rules.
-    fn answer(&self, may_be_second_try: bool) -> Response<AnswerBody> {
+    /// Returns the response for a request that can't be read.
+    ///
+    /// A call with an idempotency key may be a retry of one that ran elsewhere, with a
+    /// complete body or under newer rules. If the error may concern only this attempt, the
+    /// outcome of such a call is therefore unknown instead of "not run".
+    fn answer(&self, may_be_retry: bool) -> Response<AnswerBody> {
         let outcome = match self {
-            Self::NotReady | Self::Cut | Self::Credential | Self::Path if may_be_second_try => {
+            Self::NotReady | Self::BodyIncomplete | Self::Credential | Self::Path
+                if may_be_retry =>
+            {
                 Ran::Unknown
             }
             _ => Ran::NotRun,
--- a/crates/jaypin/src/frontend/read_request.rs
+++ b/crates/jaypin/src/frontend/read_request.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to what the decisions need to know of it.
+//! Reads callers' HTTP requests into the form that the reducer decides on.
 
 use std::time::Duration;
 
@@ -18,73 +18,73 @@
 use crate::snapshot::Snapshot;
 
 /// Largest body, in bytes.
-const MAX_BODY: usize = 4 * 1024 * 1024;
-/// Time for a caller to send its whole body.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Longest time for a caller to send its complete body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Characters of a prompt that are counted as one token.
-const CHARS_PER_TOKEN: usize = 4;
-/// Tokens of an answer when the caller states no limit.
+/// Bytes of a prompt that are estimated as one token.
+const BYTES_PER_TOKEN: usize = 4;
+/// Limit of generated tokens when the caller sets none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
-/// Path below which plain services are reached.
-const SERVICES: &str = "/v1/services/";
-/// Header that names the tier.
-const TIER: &str = "x-jaypin-tier";
+/// Path prefix of plain services.
+const SERVICES_PATH: &str = "/v1/services/";
+/// Header with the name of the tier.
+const TIER_HEADER: &str = "x-jaypin-tier";
 /// Header with the idempotency key.
-const KEY: &str = "idempotency-key";
+const KEY_HEADER: &str = "idempotency-key";
 
-/// Why a request was turned away before a decision.
+/// Why a request was rejected before it reached the reducer.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// No credential, or none that the rules know.
+    /// The credential is missing or not in the rules.
     #[snafu(display("a known credential is expected as `Authorization: Bearer ...`"))]
     Credential,
-    /// No such path.
+    /// No service or route has this path.
     #[snafu(display("no such path"))]
     Path,
-    /// The path takes another method.
-    #[snafu(display("this path takes another method"))]
+    /// The path does not support the method.
+    #[snafu(display("this path does not support the request's method"))]
     Method,
     /// The body is too large.
-    #[snafu(display("a body has up to {MAX_BODY} bytes"))]
+    #[snafu(display("the body is larger than {MAX_BODY_BYTES} bytes"))]
     TooLarge,
-    /// The body did not come in time or was cut.
-    #[snafu(display("the body did not arrive whole in time"))]
-    Cut,
-    /// The body is not what the path takes.
+    /// The body was cut off or did not arrive in time.
+    #[snafu(display("the body did not arrive completely within {} s", BODY_TIMEOUT.as_secs()))]
+    BodyIncomplete,
+    /// The body is not a completion request.
     #[snafu(display("the body is not a completion request: {message}"))]
     Json {
-        /// What the parser says.
+        /// Error of the JSON parser.
         message: String,
     },
     /// No service serves the model.
     #[snafu(display("no such model"))]
     Model,
-    /// The rules know no such tier.
+    /// The rules define no tier of this name.
     #[snafu(display("no such tier"))]
     Tier,
-    /// The call must not be repeated and has no key.
+    /// The call may not be repeated, but has no idempotency key.
     #[snafu(display("this call may not be repeated: an Idempotency-Key is expected"))]
     KeyMissing,
-    /// The key names no incarnation of a host.
+    /// The idempotency key does not begin with the prefix that a host issues.
     #[snafu(display(
-        "an Idempotency-Key is the `key_prefix` that GET /v1/entry gives, followed by \
-         1 to 64 letters, digits, `-` or `_` of your own"
+        "an Idempotency-Key is the `key_prefix` that GET /v1/entry returns, followed by \
+         1 to 64 letters, digits, `-` or `_` that the caller chooses"
     ))]
     KeyMalformed,
-    /// The host has no rules yet.
+    /// The host has not loaded rules yet.
     #[snafu(display("this host is not ready"))]
     NotReady,
 }
 
 impl ReadError {
-    /// Status of the answer.
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Credential => StatusCode::UNAUTHORIZED,
             Self::Path | Self::Model => StatusCode::NOT_FOUND,
             Self::Method => StatusCode::METHOD_NOT_ALLOWED,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::Cut => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
             Self::Json { .. } | Self::Tier | Self::KeyMissing | Self::KeyMalformed => {
                 StatusCode::BAD_REQUEST
             }
@@ -92,14 +92,14 @@
         }
     }
 
-    /// The word that callers and logs see.
+    /// Returns the reason that the response states.
     pub fn reason(&self) -> &'static str {
         match self {
             Self::Credential => "credential",
             Self::Path => "no-such-path",
             Self::Method => "wrong-method",
             Self::TooLarge => "too-large",
-            Self::Cut => "body-cut",
+            Self::BodyIncomplete => "body-cut",
             Self::Json { .. } => "not-json",
             Self::Model => "no-such-model",
             Self::Tier => "no-such-tier",
@@ -110,8 +110,9 @@
     }
 }
 
-/// Reads a request: who it is from, what it wants, by which rules.
-pub async fn read(
+/// Authenticates and reads a request; returns its description for the reducer and the request
+/// to send to a backend server.
+pub async fn read_request(
     req: Request<Incoming>,
     snapshot: &Snapshot,
     new_id: impl FnOnce() -> RequestId,
@@ -122,8 +123,8 @@
     let rules = &snapshot.rules;
     let caller = authenticate(req.headers(), rules)?;
     let path = req.uri().path().to_owned();
-    if let Some(rest) = path.strip_prefix(SERVICES) {
-        return read_plain(req, rules, caller, rest, new_id).await;
+    if let Some(service_path) = path.strip_prefix(SERVICES_PATH) {
+        return read_plain(req, rules, caller, service_path, new_id).await;
     }
     if path != "/v1/chat/completions" && path != "/v1/completions" {
         return Err(ReadError::Path);
@@ -134,20 +135,24 @@
     read_completion(req, rules, caller, path, new_id).await
 }
 
-/// Whether a call carries an idempotency key.
+/// Returns whether a call has an idempotency key.
 pub fn has_key(headers: &HeaderMap) -> bool {
-    headers.contains_key(KEY)
+    headers.contains_key(KEY_HEADER)
 }
 
-/// A caller whose credential the rules know.
+/// A caller whose credential is in the rules.
 #[derive(Debug)]
 pub struct KnownCaller {
     /// The client account that it belongs to.
     pub account: AccountId,
+    /// Line of the rule that lists the credential.
     rule_line: u32,
 }
 
-/// A digest is looked up, never a credential compared, so timing tells nothing of one.
+/// Returns the caller whose credential the request carries.
+///
+/// Credentials are looked up by digest and never compared, so that response times reveal
+/// nothing about them.
 pub fn authenticate(headers: &HeaderMap, rules: &RuleSet) -> Result<KnownCaller, ReadError> {
     let credential = headers
         .get(AUTHORIZATION)
@@ -163,18 +168,19 @@
     })
 }
 
+/// Reads the complete body, within a time and a size limit.
 async fn read_body(req: Request<Incoming>) -> Result<Bytes, ReadError> {
-    let body = Limited::new(req.into_body(), MAX_BODY);
+    let body = Limited::new(req.into_body(), MAX_BODY_BYTES);
     match timeout(BODY_TIMEOUT, body.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             Err(ReadError::TooLarge)
         }
-        _ => Err(ReadError::Cut),
+        _ => Err(ReadError::BodyIncomplete),
     }
 }
 
-/// The part of a completion request that decisions need.
+/// The members of a completion request that the reducer needs.
 #[derive(Debug, Deserialize)]
 struct Completion {
     model: String,
@@ -193,6 +199,7 @@
     content: String,
 }
 
+/// Reads a completion request to an engine.
 async fn read_completion(
     req: Request<Incoming>,
     rules: &RuleSet,
@@ -200,8 +207,8 @@
     path: String,
     new_id: impl FnOnce() -> RequestId,
 ) -> Result<(RequestInfo, Outbound), ReadError> {
-    let tier_name = text_header(req.headers(), TIER);
-    let key = text_header(req.headers(), KEY);
+    let tier_name = text_header(req.headers(), TIER_HEADER);
+    let key = text_header(req.headers(), KEY_HEADER);
     let body = read_body(req).await?;
     let call: Completion = serde_json::from_slice(&body).map_err(|error| ReadError::Json {
         message: error.to_string(),
@@ -214,9 +221,9 @@
     for message in &call.messages {
         text.push_str(&message.content);
     }
-    let mut info = describe(new_id(), &caller, service, tier);
+    let mut info = describe_request(new_id(), &caller, service, tier);
     let salt = salt(&caller.account);
-    info.prompt_tokens = u32::try_from(text.len().div_ceil(CHARS_PER_TOKEN)).unwrap_or(u32::MAX);
+    info.prompt_tokens = u32::try_from(text.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX);
     info.max_tokens = call.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
     info.prefixes = prefixes(&text, salt);
     info.fingerprint = xxh3_64_with_seed(&body, salt);
@@ -235,23 +242,24 @@
     Ok((info, outbound))
 }
 
+/// Reads a call to a plain service.
 async fn read_plain(
     req: Request<Incoming>,
     rules: &RuleSet,
     caller: KnownCaller,
-    rest: &str,
+    service_path: &str,
     new_id: impl FnOnce() -> RequestId,
 ) -> Result<(RequestInfo, Outbound), ReadError> {
-    let (name, tail) = rest.split_once('/').ok_or(ReadError::Path)?;
+    let (name, backend_path) = service_path.split_once('/').ok_or(ReadError::Path)?;
     let service = rules
         .service(name)
         .filter(|service| service.kind == ServiceKind::Plain)
         .ok_or(ReadError::Path)?;
     let method = req.method().clone();
     let route = rules
-        .route(name, &format!("{method} /{tail}"))
+        .route(name, &format!("{method} /{backend_path}"))
         .ok_or(ReadError::Path)?;
-    let key = text_header(req.headers(), KEY);
+    let key = text_header(req.headers(), KEY_HEADER);
     if route.repeat == Repeat::Never && key.is_none() {
         return Err(ReadError::KeyMissing);
     }
@@ -259,17 +267,17 @@
     if route.repeat == Repeat::Never && !key.as_ref().is_some_and(well_formed) {
         return Err(ReadError::KeyMalformed);
     }
-    let named = route
+    let tier_name = route
         .tier
         .clone()
-        .or_else(|| text_header(req.headers(), TIER));
-    let tier = pick_tier(rules, named.as_deref(), service)?;
+        .or_else(|| text_header(req.headers(), TIER_HEADER));
+    let tier = pick_tier(rules, tier_name.as_deref(), service)?;
     let mut headers = json_headers();
     if let Some(value) = key
         .as_deref()
         .and_then(|key| HeaderValue::from_str(key).ok())
     {
-        headers.insert(HeaderName::from_static(KEY), value);
+        headers.insert(HeaderName::from_static(KEY_HEADER), value);
     }
     if let Ok(value) = HeaderValue::from_str(&caller.account) {
         headers.insert(HeaderName::from_static("x-jaypin-account"), value);
@@ -279,10 +287,10 @@
         .query()
         .map(|query| format!("?{query}"))
         .unwrap_or_default();
-    let path = format!("/{tail}{query}");
+    let path = format!("/{backend_path}{query}");
     let salt = salt(&caller.account);
     let route_salt = xxh3_64_with_seed(format!("{name} {method} {path}").as_bytes(), salt);
-    let mut info = describe(new_id(), &caller, service, tier);
+    let mut info = describe_request(new_id(), &caller, service, tier);
     info.repeat = route.repeat;
     info.rule_lines.push(route.origin.line);
     info.key = key;
@@ -302,7 +310,8 @@
     Ok((info, outbound))
 }
 
-fn describe(
+/// Builds the description of a request with the defaults of a plain call.
+fn describe_request(
     id: RequestId,
     caller: &KnownCaller,
     service: &ServiceRule,
@@ -326,26 +335,29 @@
     }
 }
 
+/// Returns the named tier, or the default tier of the service if none is named.
 fn pick_tier<'a>(
     rules: &'a RuleSet,
-    named: Option<&str>,
+    tier_name: Option<&str>,
     service: &ServiceRule,
 ) -> Result<&'a TierRule, ReadError> {
     rules
-        .tier(named.unwrap_or(&service.tier))
+        .tier(tier_name.unwrap_or(&service.tier))
         .ok_or(ReadError::Tier)
 }
 
-/// Fingerprints are salted by account, so that no account learns of another's cache.
+/// Returns the salt of an account's fingerprints; it differs between accounts, so that no
+/// account learns what another has cached.
 fn salt(account: &str) -> u64 {
     xxh3_64_with_seed(account.as_bytes(), 0)
 }
 
+/// Returns the fingerprints of the text's prefixes, one for each prefix length that fits.
 fn prefixes(text: &str, salt: u64) -> Vec<u64> {
-    let lengths = (0..).map(|place| prefix_tokens(place) as usize * CHARS_PER_TOKEN);
+    let lengths = (0..).map(|index| prefix_tokens(index) as usize * BYTES_PER_TOKEN);
     lengths
-        .take_while(|chars| *chars <= text.len())
-        .map(|chars| xxh3_64_with_seed(&text.as_bytes()[..chars], salt))
+        .take_while(|len| *len <= text.len())
+        .map(|len| xxh3_64_with_seed(&text.as_bytes()[..len], salt))
         .collect()
 }
 
--- a/crates/jaypin/src/operator/explain.rs
+++ b/crates/jaypin/src/operator/explain.rs
@@ -24,7 +24,7 @@
         if let Some(body) = self.decisions.find(id) {
             return (200, serde_json::to_string(&body).unwrap_or_default());
         }
-        let Some(owner) = RequestOwner::of(id) else {
+        let Some(owner) = RequestOwner::from_request_id(id) else {
             return error_page(404, "no request has such an id");
         };
         if owner.host != self.own.host {
