--- a/crates/jaypin/src/decisions/mod.rs
+++ b/crates/jaypin/src/decisions/mod.rs
@@ -66,7 +66,7 @@
         }
         let step = ExplainStep::new(record.after, step);
         let tier = self.lock().add(&record.id, step);
-        metrics::step(&tier.unwrap_or_default(), record.after, &record.step);
+        metrics::record_step(&tier.unwrap_or_default(), record.after, &record.step);
     }
 
     /// Returns the record of a request, if it is still held.
--- a/crates/jaypin/src/links/counters.rs
+++ b/crates/jaypin/src/links/counters.rs
@@ -1,4 +1,4 @@
-//! What went over the links of this host, in numbers.
+//! Counts of the traffic on this host's links.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -6,18 +6,18 @@
 
 use crate::metrics;
 
-/// Bytes of the longest payload with a header of two bytes.
-const SHORT_PAYLOAD: usize = 125;
-/// Bytes of the mask in frames from a dialer; taken for all frames.
-const MASK: usize = 4;
+/// Longest payload with a WebSocket header of two bytes, in bytes.
+const MAX_SHORT_PAYLOAD: usize = 125;
+/// Size of the mask in frames from a dialer, in bytes; it is counted for all frames.
+const MASK_BYTES: usize = 4;
 
-/// Counts since the start of the process.
+/// Running counts since the start of the process.
 #[derive(Debug, Default)]
 pub struct LinkCounters {
     sent: Direction,
     received: Direction,
     opened: AtomicU64,
-    turned_away: AtomicU64,
+    rejected: AtomicU64,
 }
 
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     messages: AtomicU64,
 }
 
-/// The counts at one moment. Bytes include WebSocket headers, and no headers below them.
+/// Counts at one time. Bytes include WebSocket headers, but not those of lower layers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct LinkCounts {
     /// Bytes sent.
@@ -42,9 +42,9 @@
     pub messages_sent: u64,
     /// Messages received.
     pub messages_received: u64,
-    /// Links made, by either end.
+    /// Connections established by either end.
     pub opened: u64,
-    /// Connections that did not prove the fleet key.
+    /// Incoming connections that failed the handshake.
     pub turned_away: u64,
 }
 
@@ -52,26 +52,26 @@
     /// Counts a frame that was sent.
     pub fn sent(&self, payload: usize, is_message: bool) {
         self.sent.count(payload, is_message);
-        metrics::link_frame("sent", payload, is_message);
+        metrics::record_link_frame("sent", payload, is_message);
     }
 
     /// Counts a frame that was received.
     pub fn received(&self, payload: usize, is_message: bool) {
         self.received.count(payload, is_message);
-        metrics::link_frame("received", payload, is_message);
+        metrics::record_link_frame("received", payload, is_message);
     }
 
-    /// Counts a link that was made.
+    /// Counts an established connection.
     pub fn opened(&self) {
         self.opened.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a connection that did not prove itself.
-    pub fn turned_away(&self) {
-        self.turned_away.fetch_add(1, Ordering::Relaxed);
+    /// Counts an incoming connection that failed the handshake.
+    pub fn rejected(&self) {
+        self.rejected.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The counts now.
+    /// Returns the current counts.
     pub fn counts(&self) -> LinkCounts {
         LinkCounts {
             bytes_sent: self.sent.bytes.load(Ordering::Relaxed),
@@ -81,15 +81,16 @@
             messages_sent: self.sent.messages.load(Ordering::Relaxed),
             messages_received: self.received.messages.load(Ordering::Relaxed),
             opened: self.opened.load(Ordering::Relaxed),
-            turned_away: self.turned_away.load(Ordering::Relaxed),
+            turned_away: self.rejected.load(Ordering::Relaxed),
         }
     }
 }
 
 impl Direction {
+    /// Counts a frame with a payload of the given bytes.
     fn count(&self, payload: usize, is_message: bool) {
-        let header = if payload <= SHORT_PAYLOAD { 2 } else { 4 };
-        let bytes = u64::try_from(payload + header + MASK).unwrap_or_default();
+        let header = if payload <= MAX_SHORT_PAYLOAD { 2 } else { 4 };
+        let bytes = u64::try_from(payload + header + MASK_BYTES).unwrap_or_default();
         self.bytes.fetch_add(bytes, Ordering::Relaxed);
         self.frames.fetch_add(1, Ordering::Relaxed);
         if is_message {
--- a/crates/jaypin/src/links/error.rs
+++ b/crates/jaypin/src/links/error.rs
@@ -1,4 +1,4 @@
-//! Why a link could not be made, or ended.
+//! Errors of links.
 
 use std::io;
 
@@ -7,59 +7,60 @@
 use snafu::Snafu;
 use tokio_tungstenite::tungstenite;
 
-/// Why a link could not be made, or ended.
+/// Why a connection could not be established, or why it ended.
 #[derive(Debug, Snafu)]
 pub enum LinkError {
-    /// Nothing listens there: the peer's process is gone.
+    /// Nothing listens at the address, so the peer's process has exited.
     #[snafu(display("connection refused"))]
     Refused,
-    /// The connection failed below the link's own frames.
+    /// The TCP or WebSocket connection failed.
     #[snafu(display("{message}"))]
     Transport {
-        /// What the transport says.
+        /// Error of the transport.
         message: String,
     },
-    /// The handshake took too long.
-    #[snafu(display("no handshake in time"))]
+    /// The handshake did not complete in time.
+    #[snafu(display("the handshake did not complete in time"))]
     Timeout,
-    /// No byte came for too long.
-    #[snafu(display("silent"))]
-    Silent,
+    /// The peer sent no frame, or accepted none, within the timeout.
+    #[snafu(display("the peer sent or accepted no frame within the timeout"))]
+    Unresponsive,
     /// The other end closed the connection.
-    #[snafu(display("closed"))]
+    #[snafu(display("the other end closed the connection"))]
     Closed,
-    /// A frame was not one that belongs there.
-    #[snafu(display("an unexpected frame"))]
+    /// A frame was not of the kind that is expected at this point.
+    #[snafu(display("the other end sent a frame of an unexpected kind"))]
     UnexpectedFrame,
-    /// A frame could not be read.
+    /// A frame could not be encoded or decoded.
     #[snafu(display("{source}"), context(false))]
     Codec {
-        /// What the codec says.
+        /// Error of the codec.
         source: CodecError,
     },
-    /// The other end speaks another version.
-    #[snafu(display("link version {version} is not {LINK_VERSION}"))]
+    /// The other end uses another version of the link protocol.
+    #[snafu(display("expected link version {LINK_VERSION}, found {version}"))]
     Version {
-        /// Its version.
+        /// Version of the other end.
         version: u16,
     },
-    /// The other end did not prove that it holds the fleet key.
-    #[snafu(display("the other end does not hold the fleet key"))]
-    Stranger,
-    /// Another host answered at the peer's address.
-    #[snafu(display("met {host} instead"))]
+    /// The other end did not prove possession of the fleet key.
+    #[snafu(display("the other end did not prove possession of the fleet key"))]
+    NotAuthenticated,
+    /// Another host runs at the peer's address.
+    #[snafu(display("host {host} runs at the peer's address"))]
     AnotherHost {
-        /// Who answered.
+        /// Host that runs there.
         host: HostId,
     },
-    /// The peer has no address in the host list.
-    #[snafu(display("not in the host list"))]
+    /// The host list has no valid link address of the peer.
+    #[snafu(display("the host list has no link address of the peer"))]
     NoAddress,
 }
 
 impl LinkError {
-    /// Whether the error shows that the peer's process is gone, and not just unheard.
-    pub fn is_refusal(&self) -> bool {
+    /// Returns whether the error shows that the peer's process exited, rather than that the peer
+    /// is unresponsive.
+    pub fn shows_peer_exited(&self) -> bool {
         matches!(self, Self::Refused | Self::AnotherHost { .. })
     }
 }
--- a/crates/jaypin/src/links/handshake.rs
+++ b/crates/jaypin/src/links/handshake.rs
@@ -1,9 +1,9 @@
-//! The mutual proof of the fleet key, before the first message.
+//! Handshake in which both ends of a connection prove possession of the fleet key.
 //!
-//! The listener sends a number used once, and nothing about itself until the dialer
-//! proved the key: a stranger learns no name, no version, no incarnation. A proof covers
-//! the numbers of both ends, so a recorded hello and proof are worth nothing later, and
-//! it covers the side, so a proof can't be sent back to its maker.
+//! The listener first sends only a nonce, so that an unauthenticated dialer learns neither
+//! its name nor its version nor its incarnation. A proof covers the nonces of both ends,
+//! which prevents the replay of a recorded hello and proof. It also covers the role of its
+//! sender, which prevents its reflection to that sender.
 
 use futures_util::{SinkExt, StreamExt};
 use hmac::{Hmac, KeyInit, Mac};
@@ -19,19 +19,23 @@
 /// A connection between two hosts.
 pub type Socket = WebSocketStream<TcpStream>;
 
-/// Who this host is on its links.
+/// Identity of this host on its links.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// This host.
+    /// Id of this host.
     pub host: HostId,
-    /// This run of its process.
+    /// Incarnation of this host's process.
     pub incarnation: u64,
-    /// Key shared by the fleet.
+    /// Secret key shared by all hosts of the fleet.
     pub fleet_key: String,
 }
 
-/// Proves this host to a listener and checks who listens.
-pub async fn prove_as_dialer(socket: &mut Socket, identity: &Identity) -> Result<Hello, LinkError> {
+/// Authenticates this host to a listener, then checks the listener's proof; returns the
+/// listener's hello.
+pub async fn handshake_as_dialer(
+    socket: &mut Socket,
+    identity: &Identity,
+) -> Result<Hello, LinkError> {
     let Frame::Challenge(challenge) = next_frame(socket).await? else {
         return Err(LinkError::UnexpectedFrame);
     };
@@ -41,12 +45,12 @@
     send_frame(socket, &Frame::Proof(tag(proof))).await?;
     let other = next_hello(socket).await?;
     let expected = self::proof(identity, b"listener", &challenge, &[&own, &other])?;
-    check(socket, expected).await?;
+    verify_proof(socket, expected).await?;
     Ok(other)
 }
 
-/// Checks a dialer and then proves this host to it.
-pub async fn prove_as_listener(
+/// Checks a dialer's proof, then authenticates this host to it; returns the dialer's hello.
+pub async fn handshake_as_listener(
     socket: &mut Socket,
     identity: &Identity,
 ) -> Result<Hello, LinkError> {
@@ -54,7 +58,7 @@
     send_frame(socket, &Frame::Challenge(challenge)).await?;
     let other = next_hello(socket).await?;
     let expected = proof(identity, b"dialer", &challenge, &[&other])?;
-    check(socket, expected).await?;
+    verify_proof(socket, expected).await?;
     let own = hello(identity);
     let proof = proof(identity, b"listener", &challenge, &[&other, &own])?;
     send_frame(socket, &Frame::Hello(own)).await?;
@@ -71,15 +75,16 @@
     }
 }
 
+/// Computes the MAC of a proof over role, challenge and hellos.
 fn proof(
     identity: &Identity,
-    side: &[u8],
+    role: &[u8],
     challenge: &[u8],
     hellos: &[&Hello],
 ) -> Result<Hmac<Sha256>, LinkError> {
     let mut mac = Hmac::<Sha256>::new_from_slice(identity.fleet_key.as_bytes())
-        .map_err(|_| LinkError::Stranger)?;
-    mac.update(side);
+        .map_err(|_| LinkError::NotAuthenticated)?;
+    mac.update(role);
     mac.update(challenge);
     for hello in hellos {
         mac.update(&encode(hello)?);
@@ -91,15 +96,17 @@
     mac.finalize().into_bytes().to_vec()
 }
 
-async fn check(socket: &mut Socket, expected: Hmac<Sha256>) -> Result<(), LinkError> {
+/// Receives a proof and compares it with the expected one.
+async fn verify_proof(socket: &mut Socket, expected: Hmac<Sha256>) -> Result<(), LinkError> {
     let Frame::Proof(proof) = next_frame(socket).await? else {
         return Err(LinkError::UnexpectedFrame);
     };
     expected
         .verify_slice(&proof)
-        .map_err(|_| LinkError::Stranger)
+        .map_err(|_| LinkError::NotAuthenticated)
 }
 
+/// Receives a hello and checks its link version.
 async fn next_hello(socket: &mut Socket) -> Result<Hello, LinkError> {
     let Frame::Hello(hello) = next_frame(socket).await? else {
         return Err(LinkError::UnexpectedFrame);
--- a/crates/jaypin/src/links/listener.rs
+++ b/crates/jaypin/src/links/listener.rs
@@ -1,4 +1,4 @@
-//! Takes links from peers and turns strangers away.
+//! Accepts connections from peers and rejects unauthenticated ones.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,37 +10,37 @@
 use tokio::time::timeout;
 use tokio_tungstenite::accept_async_with_config;
 
-use super::carry::{carry, carry_on, socket_config};
+use super::connection::{run_connection, run_link, socket_config};
 use super::error::LinkError;
-use super::handshake::{Socket, prove_as_listener};
+use super::handshake::{Socket, handshake_as_listener};
 use super::{Links, Shared};
 
-/// Longest time for a dialer to prove itself.
-const PROOF_TIMEOUT: Duration = Duration::from_secs(1);
-/// Connections that may be unproved at once; more are closed at once, so that strangers
-/// can't fill this host's memory.
-const MAX_UNPROVED: usize = 512;
+/// Longest time for a dialer to complete the handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Largest number of connections in the handshake; further ones are closed at once, so that
+/// unauthenticated clients can't exhaust this host's memory.
+const MAX_IN_HANDSHAKE: usize = 512;
 
 impl Links {
     /// Accepts peers until the task is dropped.
     pub async fn accept(self, listener: TcpListener) {
-        let room = Arc::new(Semaphore::new(MAX_UNPROVED));
+        let handshakes = Arc::new(Semaphore::new(MAX_IN_HANDSHAKE));
         loop {
             let Ok((stream, from)) = listener.accept().await else {
                 continue;
             };
-            let Ok(permit) = room.clone().try_acquire_owned() else {
+            let Ok(permit) = handshakes.clone().try_acquire_owned() else {
                 continue;
             };
             let shared = self.shared.clone();
             tokio::spawn(async move {
-                let met = meet(&shared, stream).await;
+                let authenticated = authenticate(&shared, stream).await;
                 drop(permit);
-                match met {
+                match authenticated {
                     Ok((socket, hello)) => serve(shared, hello, socket).await,
                     Err(error) => {
-                        shared.counters.turned_away();
-                        log::warn!(from:%, error:%; "link turned away");
+                        shared.counters.rejected();
+                        log::warn!(from:%, error:%; "rejected an incoming link connection");
                     }
                 }
             });
@@ -48,30 +48,33 @@
     }
 }
 
-async fn meet(shared: &Shared, stream: TcpStream) -> Result<(Socket, Hello), LinkError> {
+/// Performs the handshake on an accepted connection.
+async fn authenticate(shared: &Shared, stream: TcpStream) -> Result<(Socket, Hello), LinkError> {
     let _ = stream.set_nodelay(true);
-    let meeting = async {
+    let authenticating = async {
         let mut socket = accept_async_with_config(stream, Some(socket_config())).await?;
-        let hello = prove_as_listener(&mut socket, &shared.identity).await?;
+        let hello = handshake_as_listener(&mut socket, &shared.identity).await?;
         Ok((socket, hello))
     };
-    let met = timeout(PROOF_TIMEOUT, meeting).await;
-    met.unwrap_or(Err(LinkError::Timeout))
+    let authenticated = timeout(HANDSHAKE_TIMEOUT, authenticating).await;
+    authenticated.unwrap_or(Err(LinkError::Timeout))
 }
 
-/// Answers go back over the same connection, unless another one leads to the peer.
+/// Runs an authenticated connection, which also sends messages to the peer unless another
+/// connection does.
 async fn serve(shared: Arc<Shared>, hello: Hello, socket: Socket) {
     let (peer, incarnation) = (hello.host, hello.incarnation);
     let opened = shared.routes().open(&peer);
-    // The route comes first: what the reducer says to the peer then finds it.
-    shared.tell(Event::PeerConnected {
+    // The route is opened first, so that messages that the reducer sends on this event use
+    // it.
+    shared.send_event(Event::PeerConnected {
         host: peer.clone(),
         incarnation,
     });
     if let Some((number, queue)) = opened {
-        carry_on(shared, peer, number, socket, queue).await;
+        run_link(shared, peer, number, socket, queue).await;
     } else {
-        let (_held, mut unused) = mpsc::channel(1);
-        carry(&shared, &peer, socket, &mut unused, false).await;
+        let (_sender, mut unused) = mpsc::channel(1);
+        run_connection(&shared, &peer, socket, &mut unused, false).await;
     }
 }
--- a/crates/jaypin/src/links/mod.rs
+++ b/crates/jaypin/src/links/mod.rs
@@ -1,9 +1,9 @@
 //! Links to peers: authenticated WebSocket connections that carry CBOR frames.
 //!
-//! A link carries messages both ways, whoever dialed it. Links to partners stay; others
-//! are made when there is something to say and close when nothing was said for a while.
+//! A link carries messages both ways, whichever end dialed it. Links to permanent peers stay
+//! open; others are opened when there is a message to send and closed when they are idle.
 
-mod carry;
+mod connection;
 mod counters;
 mod error;
 mod handshake;
@@ -23,14 +23,15 @@
 use crate::snapshot::Snapshot;
 pub use counters::LinkCounters;
 pub use handshake::Identity;
-use routes::{Routed, Routes};
+use routes::{Routes, SendOutcome};
 
-/// Pause before a lost link to a partner is tried again.
-const KEEP_PAUSE: Duration = Duration::from_secs(1);
-/// Time that the peer with the lower name has to dial before the other one does.
-const DIAL_TURN: Duration = Duration::from_millis(200);
+/// Pause between checks for missing permanent links, and between attempts to reach a
+/// configured address.
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Time for the host with the lower id to dial before its peer does.
+const DIAL_HEAD_START: Duration = Duration::from_millis(200);
 
-/// The sending ends of all links.
+/// All links of this host.
 #[derive(Debug, Clone)]
 pub struct Links {
     shared: Arc<Shared>,
@@ -42,12 +43,12 @@
     snapshots: watch::Receiver<Arc<Snapshot>>,
     events: Sender<Event>,
     routes: Mutex<Routes>,
-    keep: watch::Sender<BTreeSet<HostId>>,
+    permanent_peers: watch::Sender<BTreeSet<HostId>>,
     counters: Arc<LinkCounters>,
 }
 
 impl Links {
-    /// Starts without a link; they are made when there is something to say.
+    /// Creates the set without an open link.
     pub fn new(
         identity: Identity,
         snapshots: watch::Receiver<Arc<Snapshot>>,
@@ -58,7 +59,7 @@
             snapshots,
             events,
             routes: Mutex::default(),
-            keep: watch::Sender::default(),
+            permanent_peers: watch::Sender::default(),
             counters: Arc::default(),
         };
         Self {
@@ -66,64 +67,80 @@
         }
     }
 
-    /// What went over all links so far.
+    /// Returns the traffic counters of all links.
     pub fn counters(&self) -> Arc<LinkCounters> {
         self.shared.counters.clone()
     }
 
-    /// Queues a message; a peer that can't be reached is reported.
+    /// Queues a message and opens a link if there is none; a peer that can't be reached is
+    /// reported to the reducer.
     pub fn send(&self, to: &HostId, message: Message) {
-        let routed = self.shared.routes().send(to, message);
-        match routed {
-            Routed::Queued => {}
-            Routed::Full => log::warn!(peer:% = to; "link queue full, message dropped"),
-            Routed::Opened(number, queue) => {
-                tokio::spawn(carry::dial(self.shared.clone(), to.clone(), number, queue));
+        let outcome = self.shared.routes().send(to, message);
+        match outcome {
+            SendOutcome::Queued => {}
+            SendOutcome::Full => {
+                log::warn!(
+                    peer:% = to;
+                    "dropped a message to the peer because its link queue is full"
+                );
+            }
+            SendOutcome::Opened(number, queue) => {
+                tokio::spawn(connection::dial_and_run(
+                    self.shared.clone(),
+                    to.clone(),
+                    number,
+                    queue,
+                ));
             }
         }
     }
 
-    /// Keeps links to these peers from now on.
+    /// Replaces the set of peers whose links stay open.
     pub fn set_permanent_peers(&self, peers: Vec<HostId>) {
-        self.shared.keep.send_replace(peers.into_iter().collect());
+        self.shared
+            .permanent_peers
+            .send_replace(peers.into_iter().collect());
     }
 
-    /// Makes kept links that are not there, until the task is dropped.
-    pub async fn keep_up(self) {
-        let mut changes = self.shared.keep.subscribe();
+    /// Opens missing links to permanent peers until the task is dropped.
+    pub async fn maintain_permanent_links(self) {
+        let mut changes = self.shared.permanent_peers.subscribe();
         loop {
-            let kept = changes.borrow_and_update().clone();
-            self.ensure(kept.iter().filter(|peer| self.dials_first(peer)));
-            sleep(DIAL_TURN).await;
-            let kept = changes.borrow_and_update().clone();
-            self.ensure(kept.iter());
+            let peers = changes.borrow_and_update().clone();
+            self.open_missing(peers.iter().filter(|peer| self.dials_first(peer)));
+            sleep(DIAL_HEAD_START).await;
+            let peers = changes.borrow_and_update().clone();
+            self.open_missing(peers.iter());
             tokio::select! {
                 _ = changes.changed() => {}
-                () = sleep(KEEP_PAUSE) => {}
+                () = sleep(RETRY_PAUSE) => {}
             }
         }
     }
 
-    /// Meets the fleet through known addresses while no link is open.
-    pub async fn meet(self, peers: Vec<SocketAddr>) {
+    /// Dials the configured addresses in turn while no link is open, to join the fleet; ends
+    /// when the task is dropped.
+    pub async fn join_fleet(self, peers: Vec<SocketAddr>) {
         for address in peers.into_iter().cycle() {
             if self.shared.routes().is_empty() {
-                carry::dial_address(&self.shared, address).await;
+                connection::dial_address(&self.shared, address).await;
             }
-            sleep(KEEP_PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Both ends keep the same link; only one of them should make it.
+    /// Returns whether this host dials first. The link is permanent at both ends, but only one
+    /// of them should dial.
     fn dials_first(&self, peer: &HostId) -> bool {
         self.shared.identity.host < *peer
     }
 
-    fn ensure<'a>(&self, peers: impl Iterator<Item = &'a HostId>) {
+    /// Opens the links to peers that have none.
+    fn open_missing<'a>(&self, peers: impl Iterator<Item = &'a HostId>) {
         for peer in peers {
             let opened = self.shared.routes().open(peer);
             if let Some((number, queue)) = opened {
-                tokio::spawn(carry::dial(
+                tokio::spawn(connection::dial_and_run(
                     self.shared.clone(),
                     peer.clone(),
                     number,
@@ -139,10 +156,11 @@
         self.routes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tell(&self, event: Event) {
+    fn send_event(&self, event: Event) {
         let _ = self.events.send(event);
     }
 
+    /// Returns the link address of a peer from the host list.
     fn address_of(&self, peer: &HostId) -> Option<SocketAddr> {
         let snapshot = self.snapshots.borrow();
         let record = snapshot.hosts.hosts.iter().find(|host| host.id == *peer)?;
--- a/crates/jaypin/src/links/routes.rs
+++ b/crates/jaypin/src/links/routes.rs
@@ -1,17 +1,18 @@
-//! Which queue leads to which peer.
+//! Message queues of the links, by peer.
 
 use std::collections::HashMap;
 
 use jaypin_core::{HostId, Message};
 use tokio::sync::mpsc;
 
-/// Messages that may wait for one peer; more are dropped and asked for again.
-const QUEUE: usize = 4_096;
+/// Largest number of messages queued for one peer; further ones are dropped and later
+/// requested again.
+const QUEUE_CAPACITY: usize = 4_096;
 
-/// Receiving end of a route: whoever holds it carries its messages.
+/// Receiving end of a message queue; the task that holds it sends the messages.
 pub type Queue = mpsc::Receiver<Message>;
 
-/// The sending ends of all links, by peer.
+/// Sending ends of the queues of all links, by peer.
 #[derive(Debug, Default)]
 pub struct Routes {
     routes: HashMap<HostId, Route>,
@@ -24,33 +25,33 @@
     tx: mpsc::Sender<Message>,
 }
 
-/// What became of a message.
+/// Result of queueing a message.
 #[derive(Debug)]
-pub enum Routed {
-    /// It waits for its link.
+pub enum SendOutcome {
+    /// The message is in the queue of an open link.
     Queued,
-    /// Too many wait; it was dropped.
+    /// The queue is full, and the message was dropped.
     Full,
-    /// It waits in a new queue, which somebody has to carry.
+    /// The message is in a new queue with this number, for which the caller has to run a link.
     Opened(u64, Queue),
 }
 
 impl Routes {
-    /// Queues a message, in a new queue when there is none.
-    pub fn send(&mut self, to: &HostId, message: Message) -> Routed {
+    /// Queues a message; creates a queue if the peer has none.
+    pub fn send(&mut self, to: &HostId, message: Message) -> SendOutcome {
         let mut message = message;
         if let Some(route) = self.routes.get(to) {
             match route.tx.try_send(message) {
-                Ok(()) => return Routed::Queued,
-                Err(mpsc::error::TrySendError::Full(_)) => return Routed::Full,
+                Ok(()) => return SendOutcome::Queued,
+                Err(mpsc::error::TrySendError::Full(_)) => return SendOutcome::Full,
                 Err(mpsc::error::TrySendError::Closed(unsent)) => message = unsent,
             }
         }
         let (number, queue) = self.replace(to, Some(message));
-        Routed::Opened(number, queue)
+        SendOutcome::Opened(number, queue)
     }
 
-    /// Opens a queue to a peer that has none.
+    /// Creates a queue to a peer; returns `None` if the peer has an open one.
     pub fn open(&mut self, to: &HostId) -> Option<(u64, Queue)> {
         let open = self
             .routes
@@ -59,7 +60,7 @@
         (!open).then(|| self.replace(to, None))
     }
 
-    /// Closes a queue, unless another took its place.
+    /// Closes the queue with this number, unless it was replaced.
     pub fn close(&mut self, to: &HostId, number: u64) {
         if self
             .routes
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Closes a queue in which nothing waits; says whether it did.
+    /// Closes a queue if it is empty, and returns whether it is.
     pub fn close_idle(&mut self, to: &HostId, number: u64, queue: &Queue) -> bool {
         let idle = queue.is_empty();
         if idle {
@@ -79,13 +80,14 @@
         idle
     }
 
-    /// Whether no peer has a queue.
+    /// Returns whether no peer has a queue.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
+    /// Creates the queue of a peer, with a first message if there is one.
     fn replace(&mut self, to: &HostId, first: Option<Message>) -> (u64, Queue) {
-        let (tx, queue) = mpsc::channel(QUEUE);
+        let (tx, queue) = mpsc::channel(QUEUE_CAPACITY);
         if let Some(message) = first {
             let _ = tx.try_send(message);
         }
--- a/crates/jaypin/src/metrics/instruments.rs
+++ b/crates/jaypin/src/metrics/instruments.rs
@@ -1,26 +1,26 @@
-//! The instruments, with their names, units and buckets.
+//! Definitions of the instruments, with their names, units and buckets.
 
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::Registry;
 
-/// Bounds of times to a first token and to a whole answer, in seconds.
+/// Bucket bounds of the times to a first token and to a complete answer, in seconds.
 const ANSWER_BOUNDS: [f64; 14] = [
     0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 2.5, 5.0, 15.0, 60.0, 180.0, 600.0,
 ];
-/// Bounds of times between tokens, in seconds; the usual target is 0.066.
+/// Bucket bounds of the time between tokens, in seconds; the usual target is 0.066 s.
 const GAP_BOUNDS: [f64; 10] = [0.01, 0.02, 0.033, 0.05, 0.066, 0.1, 0.2, 0.5, 1.0, 5.0];
 
 /// All instruments of a process.
 #[derive(Debug)]
 pub struct Instruments {
-    /// Where scrapers read.
+    /// Registry that scrapes are rendered from.
     pub registry: Registry,
     /// Requests that ended, by tier and outcome.
     pub requests: Counter<u64>,
     /// Refusals, by tier, reason and whether the request ran.
     pub refusals: Counter<u64>,
-    /// Steps of decisions.
+    /// Steps of decision records, by kind.
     pub decisions: Counter<u64>,
     /// Time from arrival to the first token, by tier.
     pub first_token: Histogram<f64>,
@@ -34,13 +34,13 @@
     pub link_bytes: Counter<u64>,
     /// Calls to the platform, by kind and outcome.
     pub platform_calls: Counter<u64>,
-    /// What is so now.
+    /// Gauges of the current state.
     pub gauges: Gauges,
-    // Kept because its end would end the instruments.
+    // Held because the instruments stop working when it is dropped.
     _provider: SdkMeterProvider,
 }
 
-/// Gauges, set when they are scraped.
+/// Gauges, which are set at each scrape.
 #[derive(Debug)]
 pub struct Gauges {
     /// Own requests that wait for a slot.
@@ -49,26 +49,26 @@
     pub running: Gauge<u64>,
     /// Shards that this host leads.
     pub shards_led: Gauge<u64>,
-    /// Requests that wait in those shards.
+    /// Requests that wait in the shards that this host leads.
     pub shard_waiting: Gauge<u64>,
-    /// Requests that run on slots of those shards.
+    /// Requests that run on slots of the shards that this host leads.
     pub shard_running: Gauge<u64>,
-    /// Version of the rules in force here.
+    /// Version of the rules that this host applies.
     pub rules_version: Gauge<u64>,
-    /// Version of the host list in use here.
+    /// Version of the host list that this host uses.
     pub hosts_version: Gauge<u64>,
-    /// Entry hosts that take work, as this host sees them.
+    /// Entry hosts that accept work, in the view of this host.
     pub live_hosts: Gauge<u64>,
-    /// Contents under which a backend server died.
+    /// Request contents that were running when a backend server crashed.
     pub suspected: Gauge<u64>,
-    /// Those of them that are refused.
+    /// Suspected contents that are refused.
     pub quarantined: Gauge<u64>,
-    /// 1 while this host is leaving.
+    /// 1 while this host is draining, otherwise 0.
     pub draining: Gauge<u64>,
 }
 
 impl Instruments {
-    /// Builds every instrument.
+    /// Creates every instrument with a registry of its own.
     pub fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -83,7 +83,7 @@
             let builder = meter.u64_counter(name).with_description(text);
             builder.with_unit(unit).build()
         };
-        let times = |name: &'static str, bounds: &[f64], text: &'static str| {
+        let seconds_histogram = |name: &'static str, bounds: &[f64], text: &'static str| {
             let builder = meter.f64_histogram(name).with_description(text);
             let builder = builder.with_unit("s").with_boundaries(bounds.to_vec());
             builder.build()
@@ -101,17 +101,17 @@
                 "Refusals by tier, reason and whether the request ran",
             ),
             decisions: counter("jaypin.decisions", "{step}", "Steps of decisions"),
-            first_token: times(
+            first_token: seconds_histogram(
                 "jaypin.request.first_token.duration",
                 &ANSWER_BOUNDS,
                 "Time from arrival to the first token, by tier",
             ),
-            duration: times(
+            duration: seconds_histogram(
                 "jaypin.request.duration",
                 &ANSWER_BOUNDS,
                 "Time from arrival to the end, by tier and outcome",
             ),
-            gap: times(
+            gap: seconds_histogram(
                 "jaypin.stream.gap.duration",
                 &GAP_BOUNDS,
                 "Time between two chunks of a stream",
--- a/crates/jaypin/src/metrics/mod.rs
+++ b/crates/jaypin/src/metrics/mod.rs
@@ -1,8 +1,8 @@
-//! Counts and times for scraping, in the names and units of OpenTelemetry.
+//! Metrics in the names and units of OpenTelemetry, rendered for scrapes by Prometheus.
 //!
-//! One registry a process, as exporters expect it; nothing here decides anything. No
-//! label names a client account, a request or a key: the number of series must not grow
-//! with those.
+//! There is one registry per process, as exporters expect; no decision depends on it. No
+//! label holds a client account, a request or a key, so that the number of series does not
+//! grow with those.
 
 mod instruments;
 
@@ -18,7 +18,7 @@
 
 static INSTRUMENTS: LazyLock<Instruments> = LazyLock::new(Instruments::new);
 
-/// What a call to the platform is for.
+/// Kind of a call to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlatformCall {
     /// A read.
@@ -29,43 +29,48 @@
     Watch,
 }
 
-/// Counts a step of a request's decisions.
-pub fn step(tier: &str, after: Duration, step: &Step) {
+/// Counts a step of a request's decision record; `after` is the time since its arrival.
+pub fn record_step(tier: &str, after: Duration, step: &Step) {
     let tier = || KeyValue::new("tier", tier.to_owned());
-    let all = &*INSTRUMENTS;
-    let word = match step {
+    let instruments = &*INSTRUMENTS;
+    let label = match step {
         Step::Arrived { .. } => "arrived",
         Step::SlotRequested { .. } => "asked",
         Step::Dispatched { .. } => "dispatched",
         Step::Claimed { .. } => "claimed",
         Step::NotReached => "not-reached",
         Step::FirstToken => {
-            all.first_token.record(after.as_secs_f64(), &[tier()]);
+            instruments
+                .first_token
+                .record(after.as_secs_f64(), &[tier()]);
             "first-token"
         }
         Step::Finished { outcome, .. } => {
-            let outcome = ending(*outcome);
-            // A lost or failed call is counted by the refusal that follows.
+            let outcome = outcome_label(*outcome);
+            // A lost or failed call is counted with the refusal that follows it.
             if matches!(outcome, "complete" | "cancelled") {
-                ended(tier(), after, outcome);
+                record_end(tier(), after, outcome);
             }
             "finished"
         }
         Step::Refused(refusal) => {
-            ended(tier(), after, "refused");
+            record_end(tier(), after, "refused");
             let labels = [
                 tier(),
                 KeyValue::new("reason", refusal.reason.as_str()),
                 KeyValue::new("outcome", refusal.ran.as_str()),
             ];
-            all.refusals.add(1, &labels);
+            instruments.refusals.add(1, &labels);
             "refused"
         }
     };
-    all.decisions.add(1, &[KeyValue::new("step", word)]);
+    instruments
+        .decisions
+        .add(1, &[KeyValue::new("step", label)]);
 }
 
-fn ending(outcome: CallOutcome) -> &'static str {
+/// Returns the outcome label of a call.
+fn outcome_label(outcome: CallOutcome) -> &'static str {
     match outcome {
         CallOutcome::Complete => "complete",
         CallOutcome::ConnectionLost => "lost",
@@ -75,19 +80,20 @@
     }
 }
 
-fn ended(tier: KeyValue, after: Duration, outcome: &'static str) {
+/// Counts an ended request and its duration.
+fn record_end(tier: KeyValue, after: Duration, outcome: &'static str) {
     let labels = [tier, KeyValue::new("outcome", outcome)];
     INSTRUMENTS.requests.add(1, &labels);
     INSTRUMENTS.duration.record(after.as_secs_f64(), &labels);
 }
 
-/// Takes the time between two chunks of a stream on their way to a caller.
-pub fn record_chunk_gap(time: Duration) {
-    INSTRUMENTS.gap.record(time.as_secs_f64(), &[]);
+/// Records the time between two chunks of a stream to a caller.
+pub fn record_chunk_gap(duration: Duration) {
+    INSTRUMENTS.gap.record(duration.as_secs_f64(), &[]);
 }
 
 /// Counts a call to the platform.
-pub fn platform_call(call: PlatformCall, is_answered: bool) {
+pub fn record_platform_call(call: PlatformCall, is_answered: bool) {
     let kind = match call {
         PlatformCall::Read => "read",
         PlatformCall::Write => "write",
@@ -101,8 +107,8 @@
     INSTRUMENTS.platform_calls.add(1, &labels);
 }
 
-/// Counts a frame of a link, with its payload in bytes.
-pub fn link_frame(direction: &'static str, payload: usize, is_message: bool) {
+/// Counts a frame of a link; `payload` is its size in bytes, without headers.
+pub fn record_link_frame(direction: &'static str, payload: usize, is_message: bool) {
     let labels = [KeyValue::new("direction", direction)];
     if is_message {
         INSTRUMENTS.link_messages.add(1, &labels);
@@ -110,7 +116,8 @@
     INSTRUMENTS.link_bytes.add(payload as u64, &labels);
 }
 
-/// Gives everything in the text format of Prometheus.
+/// Returns all metrics in the text format of Prometheus, with the gauges set from the
+/// snapshot.
 pub fn render(snapshot: &Snapshot) -> String {
     let summary = &snapshot.summary;
     let gauges = &INSTRUMENTS.gauges;
@@ -135,7 +142,7 @@
     gauges.draining.record(u64::from(summary.draining), &[]);
     let mut buf = Vec::new();
     if let Err(error) = TextEncoder::new().encode(&INSTRUMENTS.registry.gather(), &mut buf) {
-        log::error!(error:%; "can't write the metrics");
+        log::error!(error:%; "could not encode the metrics");
     }
     String::from_utf8_lossy(&buf).into_owned()
 }
--- a/crates/jaypin/src/platform.rs
+++ b/crates/jaypin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API: reads, conditional writes, watches.
+//! Client of the platform's object API, with reads, conditional writes and watches.
 
 use std::sync::Arc;
 use std::thread;
@@ -15,16 +15,16 @@
 use crate::rules_change::read_parts;
 use crate::snapshot::Snapshot;
 
-/// Key of the rules.
+/// Object key of the rules.
 pub const RULES: &str = "rules";
-/// Key of the host list.
+/// Object key of the host list.
 pub const HOSTS: &str = "hosts";
-/// How long one watch waits at the platform.
-const WATCH: Duration = Duration::from_secs(4);
-/// Pause between two watches; also after a call that failed or answered an old copy.
+/// Time for which the platform holds a watch call open without a change.
+const WATCH_WAIT: Duration = Duration::from_secs(4);
+/// Pause after each watch call, also if it failed or returned an old version.
 const WATCH_PAUSE: Duration = Duration::from_millis(250);
-/// Time allowed beyond what a watch waits. A watch on a connection that went silent is
-/// given up after that, and the next one is on a new connection.
+/// Longest time of a call, added to [`WATCH_WAIT`] for a watch. A call on a connection that
+/// went silent fails after it, and the next call uses a new connection.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A client of the platform.
@@ -34,17 +34,17 @@
     timeout: Duration,
 }
 
-/// What became of a conditional write.
+/// Result of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// It was written, as this version.
+    /// The object was written, as this version.
     Written(u64),
-    /// Another version was there.
+    /// The object had this version instead of the expected one.
     Conflict(u64),
 }
 
 impl PlatformClient {
-    /// Builds a client for an address.
+    /// Creates a client for an address; the timeout applies to each call.
     pub fn new(address: &str, timeout: Duration) -> Self {
         Self {
             base: format!("http://{address}/objects"),
@@ -52,17 +52,21 @@
         }
     }
 
-    /// Reads an object once it is newer than `after`, or gives nothing after a while.
+    /// Waits until an object is newer than version `after`, and returns its version and value;
+    /// the version is not newer if the platform's wait ends first. Returns `None` if the object
+    /// does not exist.
     pub fn watch<T: DeserializeOwned>(
         &self,
         key: &str,
         after: u64,
     ) -> Result<Option<(u64, T)>, String> {
-        let wait = WATCH.as_millis();
+        let wait = WATCH_WAIT.as_millis();
         let url = format!("{}/{key}?after={after}&wait_ms={wait}", self.base);
-        let response = counted(
+        let response = count_call(
             PlatformCall::Watch,
-            attohttpc::get(url).timeout(WATCH + self.timeout).send(),
+            attohttpc::get(url)
+                .timeout(WATCH_WAIT + self.timeout)
+                .send(),
         )?;
         if response.status().as_u16() == 404 {
             return Ok(None);
@@ -79,10 +83,10 @@
         Ok(Some((version, value)))
     }
 
-    /// Reads an object as it is.
+    /// Returns the version and the value of an object, or `None` if it does not exist.
     pub fn get<T: DeserializeOwned>(&self, key: &str) -> Result<Option<(u64, T)>, String> {
         let url = format!("{}/{key}", self.base);
-        let response = counted(
+        let response = count_call(
             PlatformCall::Read,
             attohttpc::get(url).timeout(self.timeout).send(),
         )?;
@@ -98,7 +102,7 @@
         Ok(Some((version, value)))
     }
 
-    /// Writes an object if it has the expected version.
+    /// Writes an object if its version is the expected one.
     pub fn put(
         &self,
         key: &str,
@@ -113,7 +117,7 @@
             .timeout(self.timeout)
             .json(value)
             .map_err(|error| error.to_string())?;
-        let response = counted(PlatformCall::Write, req.send())?;
+        let response = count_call(PlatformCall::Write, req.send())?;
         let status = response.status().as_u16();
         if status != 200 && status != 409 {
             return Err(format!("the platform answered {status}"));
@@ -126,27 +130,28 @@
     }
 }
 
-fn counted(
+/// Counts a call in the metrics and converts its error to text.
+fn count_call(
     call: PlatformCall,
     sent: attohttpc::Result<attohttpc::Response>,
 ) -> Result<attohttpc::Response, String> {
     let is_answered = sent
         .as_ref()
         .is_ok_and(|response| !response.status().is_server_error());
-    metrics::platform_call(call, is_answered);
+    metrics::record_platform_call(call, is_answered);
     sent.map_err(|error| error.to_string())
 }
 
-/// Where watches hear what is known and whether they are this host's to hold.
+/// State that controls the watches.
 #[derive(Debug, Clone)]
 pub struct WatchControl {
-    /// What is known already, from peers too.
+    /// Snapshots, whose versions include those received from peers.
     pub snapshots: watch::Receiver<Arc<Snapshot>>,
-    /// Whether this host watches.
+    /// Whether this host is one of those that watch the platform.
     pub watching: watch::Receiver<bool>,
 }
 
-/// Watches rules and host list, each in a thread that ends with the process.
+/// Starts to watch rules and host list, each in a thread that runs until the process ends.
 pub fn spawn_watches(
     address: &str,
     events: &Sender<Event>,
@@ -158,14 +163,14 @@
     thread::Builder::new()
         .name("watch-rules".to_owned())
         .spawn(move || {
-            let known = |snapshot: &Snapshot| snapshot.summary.rules_version;
+            let known_version = |snapshot: &Snapshot| snapshot.summary.rules_version;
             watch_object(
                 &rules_client,
                 RULES,
                 &rules_control,
-                known,
+                known_version,
                 |version, object: RulesObject| {
-                    let text = whole_text(&rules_client, version, &object, &rules_control);
+                    let text = read_complete_text(&rules_client, version, &object, &rules_control);
                     let events = text.map_or_else(Vec::new, |text| parse_rules(version, &text));
                     events
                         .into_iter()
@@ -177,49 +182,59 @@
     thread::Builder::new()
         .name("watch-hosts".to_owned())
         .spawn(move || {
-            let known = |snapshot: &Snapshot| snapshot.summary.hosts_version;
-            watch_object(&client, HOSTS, &control, known, |version, object| {
-                let list: WireHostList = object;
-                let event = Event::Hosts(list.at_version(version));
-                hosts_events.send(event).is_ok()
-            });
+            let known_version = |snapshot: &Snapshot| snapshot.summary.hosts_version;
+            watch_object(
+                &client,
+                HOSTS,
+                &control,
+                known_version,
+                |version, object| {
+                    let list: WireHostList = object;
+                    let event = Event::Hosts(list.at_version(version));
+                    hosts_events.send(event).is_ok()
+                },
+            );
         })?;
     Ok(())
 }
 
+/// Watches an object and delivers each newer version until `deliver` returns false.
 fn watch_object<T: DeserializeOwned>(
     client: &PlatformClient,
     key: &str,
     control: &WatchControl,
-    known: impl Fn(&Snapshot) -> u64,
-    mut tell: impl FnMut(u64, T) -> bool,
+    known_version: impl Fn(&Snapshot) -> u64,
+    mut deliver: impl FnMut(u64, T) -> bool,
 ) {
-    let mut seen = 0;
+    let mut latest = 0;
     loop {
         if *control.watching.borrow() {
-            seen = seen.max(known(&control.snapshots.borrow()));
-            match client.watch::<T>(key, seen) {
-                Ok(Some((version, value))) if version > seen => {
-                    seen = version;
-                    if !tell(version, value) {
+            latest = latest.max(known_version(&control.snapshots.borrow()));
+            match client.watch::<T>(key, latest) {
+                Ok(Some((version, value))) if version > latest => {
+                    latest = version;
+                    if !deliver(version, value) {
                         return;
                     }
                 }
                 Ok(_) => {}
-                Err(error) => log::warn!(key, error; "can't watch the platform"),
+                Err(error) => {
+                    log::warn!(key, error; "could not watch an object at the platform; retrying");
+                }
             }
         }
-        // Also after an answer: a platform that answers old copies answers at once, and
-        // without a pause the watch would turn into a stream of calls.
+        // The pause also follows a successful call: a platform that serves an old copy
+        // answers at once, and without a pause the calls would follow each other directly.
         thread::sleep(WATCH_PAUSE);
     }
 }
 
-/// Puts a rule file together; gives nothing when a peer was faster.
+/// Reads the complete text of a rule file, or returns `None` once a peer has sent the version.
 ///
-/// Guards against a platform that goes out between the object and its parts: the watch
-/// would not show that version again, and this host would keep the older rules.
-fn whole_text(
+/// It retries until then, because the platform can fail between the read of the object and
+/// those of its parts. The watch does not deliver that version again, so this host would
+/// otherwise keep the older rules.
+fn read_complete_text(
     client: &PlatformClient,
     version: u64,
     object: &RulesObject,
@@ -229,20 +244,23 @@
         if control.snapshots.borrow().summary.rules_version >= version {
             return None;
         }
-        let mut whole = object.clone();
-        match read_parts(client, &mut whole) {
-            Ok(()) => return Some(whole.text),
-            Err(error) => log::warn!(version, error; "can't read the rules' parts"),
+        let mut complete = object.clone();
+        match read_parts(client, &mut complete) {
+            Ok(()) => return Some(complete.text),
+            Err(error) => {
+                log::warn!(version, error; "could not read the parts of the rule file; retrying");
+            }
         }
         thread::sleep(WATCH_PAUSE);
     }
 }
 
-/// Reads a rule file, whoever it came from; gives nothing when it is wrong.
+/// Parses a rule file from the platform or a peer; returns the events for the reducer, which
+/// are none if the file is invalid.
 pub fn parse_rules(version: u64, text: &str) -> Vec<Event> {
     match jaypin_rules::parse(text) {
         Ok(rules) => {
-            log::info!(version; "rules read");
+            log::info!(version; "parsed the rule file");
             let rules = Arc::new(rules);
             let text = Arc::from(text);
             vec![
@@ -250,12 +268,9 @@
                 Event::Rules { version, rules },
             ]
         }
-        Err(mistakes) => {
-            let first = mistakes
-                .first()
-                .map(ToString::to_string)
-                .unwrap_or_default();
-            log::error!(version, first; "a wrong rule file");
+        Err(errors) => {
+            let first = errors.first().map(ToString::to_string).unwrap_or_default();
+            log::error!(version, first; "rejected an invalid rule file");
             Vec::new()
         }
     }
--- a/crates/jaypin/src/serve.rs
+++ b/crates/jaypin/src/serve.rs
@@ -103,8 +103,8 @@
     platform::spawn_watches(&settings.platform.to_string(), &events, &control)
         .map_err(|error| error.to_string())?;
     tokio::spawn(links.clone().accept(peers));
-    tokio::spawn(links.clone().keep_up());
-    tokio::spawn(links.meet(settings.peers.clone()));
+    tokio::spawn(links.clone().maintain_permanent_links());
+    tokio::spawn(links.join_fleet(settings.peers.clone()));
     let frontend = Frontend::new(
         host,
         incarnation,
