--- a/crates/jaypin/src/links/connection.rs
+++ b/crates/jaypin/src/links/connection.rs
@@ -157,7 +157,8 @@
     connected.unwrap_or(Err(LinkError::Timeout))
 }
 
-/// Sends the queued messages and receives the peer's until the connection ends.
+/// Sends the queued messages and receives the peer's until the connection ends; `closes_idle`
+/// is whether this end closes the connection when it is idle.
 pub async fn run_connection(
     shared: &Shared,
     peer: &HostId,
--- a/crates/jaypin/src/platform.rs
+++ b/crates/jaypin/src/platform.rs
@@ -72,13 +72,16 @@
             return Ok(None);
         }
         if !response.is_success() {
-            return Err(format!("the platform answered {}", response.status()));
+            return Err(format!(
+                "the platform responded with status {}",
+                response.status()
+            ));
         }
         let version = response
             .headers()
             .get("x-version")
             .and_then(|value| value.to_str().ok()?.parse().ok())
-            .ok_or("the platform gave no version")?;
+            .ok_or("the platform's response has no valid x-version header")?;
         let value = response.json().map_err(|error| error.to_string())?;
         Ok(Some((version, value)))
     }
@@ -97,7 +100,7 @@
             .headers()
             .get("x-version")
             .and_then(|value| value.to_str().ok()?.parse().ok())
-            .ok_or_else(|| format!("the platform answered {}", response.status()))?;
+            .ok_or_else(|| format!("the platform responded with status {}", response.status()))?;
         let value = response.json().map_err(|error| error.to_string())?;
         Ok(Some((version, value)))
     }
@@ -120,7 +123,9 @@
         let response = count_call(PlatformCall::Write, req.send())?;
         let status = response.status().as_u16();
         if status != 200 && status != 409 {
-            return Err(format!("the platform answered {status}"));
+            return Err(format!(
+                "the platform responded to a write with status {status}"
+            ));
         }
         let answer: Answer = response.json().map_err(|error| error.to_string())?;
         Ok(match status {
--- a/crates/jaypin/src/runner.rs
+++ b/crates/jaypin/src/runner.rs
@@ -69,8 +69,8 @@
             }
             Effect::ParseRules { version, text } => {
                 let events = self.events.clone();
-                // Parsing the rules of 17,000 accounts takes about 170 ms, which would
-                // stall the reducer's thread.
+                // Parsing the rules of 17,000 accounts takes a sixth of a second, which
+                // would stall the reducer's thread.
                 tokio::task::spawn_blocking(move || {
                     for event in parse_rules(version, &text) {
                         let _ = events.send(event);
