--- a/crates/jaypin/src/serve.rs
+++ b/crates/jaypin/src/serve.rs
@@ -16,7 +16,7 @@
 use crate::frontend::Frontend;
 use crate::links::{Identity, Links};
 use crate::operator::Operator;
-use crate::runner::Runner;
+use crate::runner::EffectRunner;
 use crate::settings::Settings;
 use crate::snapshot::Snapshot;
 use crate::{frontend, platform, reducer_task};
@@ -35,10 +35,8 @@
 /// Runs a host until it has shut down.
 pub fn run(settings: Settings) -> Result<(), String> {
     if let Err(error) = rlimit::increase_nofile_limit(MAX_OPEN_FILES) {
-        log::warn!(
-            error:%;
-            "failed to raise the limit of open files; continuing with the current limit"
-        );
+        log::warn!(error:%;
+            "failed to raise the limit of open files; continuing with the current limit");
     }
     let runtime = Builder::new_multi_thread()
         .worker_threads(WORKER_THREADS)
@@ -70,25 +68,21 @@
     let calls = Arc::new(Calls::default());
     let decisions = Arc::new(Decisions::new(snapshots.clone()));
     let watching = watch::Sender::new(true);
-    let runner = Runner {
+    let runner = EffectRunner {
         decisions: decisions.clone(),
         calls: calls.clone(),
-        paces: Arc::default(),
+        latencies: Arc::default(),
         links: links.clone(),
         events: events.clone(),
         watching: watching.clone(),
         exit: exit.clone(),
     };
     let reducer = Reducer::new(config(&settings, &host, incarnation));
-    reducer_task::spawn(
-        reducer,
+    reducer_task::spawn(reducer,
         event_rx,
-        snapshot_tx,
-        Handle::current(),
-        move |fx| {
-            runner.run(fx);
-        },
-    )
+        snapshot_tx, Handle::current(), move |fx| {
+        runner.run(fx);
+    },)
     .map_err(|error| error.to_string())?;
     Operator {
         identity: HostIdentity {
@@ -112,8 +106,8 @@
     platform::spawn_watches(&settings.platform.to_string(), &events, &control)
         .map_err(|error| error.to_string())?;
     tokio::spawn(links.clone().accept(link_listener));
-    tokio::spawn(links.clone().keep_up());
-    tokio::spawn(links.meet(settings.peers.clone()));
+    tokio::spawn(links.clone().maintain_permanent_links());
+    tokio::spawn(links.join_fleet(settings.peers.clone()));
     let frontend = Frontend::new(
         host,
         incarnation,
