--- a/crates/jaypin/src/frontend/explain.rs
+++ b/crates/jaypin/src/frontend/explain.rs
@@ -68,7 +68,7 @@
 }
 
 fn record_not_found() -> Response<AnswerBody> {
-    let message = "no decision record is held of a request of this account with this id";
+    let message = "no request of yours with this id is remembered";
     rejected(StatusCode::NOT_FOUND, "no-record", Ran::NotRun, message)
 }
 
--- a/crates/jaypin/src/frontend/read_request.rs
+++ b/crates/jaypin/src/frontend/read_request.rs
@@ -42,13 +42,13 @@
     #[snafu(display("no such path"))]
     Path,
     /// The path does not support the method.
-    #[snafu(display("this path does not support the request's method"))]
+    #[snafu(display("this path takes another method"))]
     Method,
     /// The body is too large.
-    #[snafu(display("the body is larger than {MAX_BODY_BYTES} bytes"))]
+    #[snafu(display("a body has up to {MAX_BODY_BYTES} bytes"))]
     TooLarge,
     /// The body was cut off or did not arrive in time.
-    #[snafu(display("the body did not arrive completely within {} s", BODY_TIMEOUT.as_secs()))]
+    #[snafu(display("the body did not arrive whole in time"))]
     BodyIncomplete,
     /// The body is not a completion request.
     #[snafu(display("the body is not a completion request: {message}"))]
@@ -67,8 +67,8 @@
     KeyMissing,
     /// The idempotency key does not begin with the prefix that a host issues.
     #[snafu(display(
-        "an Idempotency-Key is the `key_prefix` that GET /v1/entry returns, followed by \
-         1 to 64 letters, digits, `-` or `_` that the caller chooses"
+        "an Idempotency-Key is the `key_prefix` that GET /v1/entry gives, followed by \
+         1 to 64 letters, digits, `-` or `_` of your own"
     ))]
     KeyMalformed,
     /// The host has not loaded rules yet.
--- a/crates/jaypin/src/metrics/mod.rs
+++ b/crates/jaypin/src/metrics/mod.rs
@@ -40,7 +40,9 @@
         Step::Claimed { .. } => "claimed",
         Step::NotReached => "not-reached",
         Step::FirstToken => {
-            instruments.first_token.record(after.as_secs_f64(), &[tier()]);
+            instruments
+                .first_token
+                .record(after.as_secs_f64(), &[tier()]);
             "first-token"
         }
         Step::Finished { outcome, .. } => {
@@ -62,11 +64,12 @@
             "refused"
         }
     };
-    instruments.decisions.add(1, &[KeyValue::new("step", label)]);
+    instruments
+        .decisions
+        .add(1, &[KeyValue::new("step", label)]);
 }
 
 /// Returns the outcome label of a call.
-
 fn outcome_label(outcome: CallOutcome) -> &'static str {
     match outcome {
         CallOutcome::Complete => "complete",
@@ -78,7 +81,6 @@
 }
 
 /// Counts an ended request and its duration.
-
 fn record_end(tier: KeyValue, after: Duration, outcome: &'static str) {
     let labels = [tier, KeyValue::new("outcome", outcome)];
     INSTRUMENTS.requests.add(1, &labels);
--- a/crates/jaypin/src/operator/explain.rs
+++ b/crates/jaypin/src/operator/explain.rs
@@ -44,7 +44,6 @@
     }
 
     /// Forwards the query for a request to the host that owns it.
-
     fn forward_to_owner(
         &self,
         req: &Request,
--- a/crates/jaypin/src/serve.rs
+++ b/crates/jaypin/src/serve.rs
@@ -78,11 +78,15 @@
         exit: exit.clone(),
     };
     let reducer = Reducer::new(config(&settings, &host, incarnation));
-    reducer_task::spawn(reducer,
+    reducer_task::spawn(
+        reducer,
         event_rx,
-        snapshot_tx, Handle::current(), move |fx| {
-        runner.run(fx);
-    },)
+        snapshot_tx,
+        Handle::current(),
+        move |fx| {
+            runner.run(fx);
+        },
+    )
     .map_err(|error| error.to_string())?;
     Operator {
         identity: HostIdentity {
