--- a/crates/jaypin_bench/examples/members.rs
+++ b/crates/jaypin_bench/examples/members.rs
@@ -221,7 +221,7 @@
     let with_restart = in_force(&mut fleet).await?;
     println!("  written while a host starts again: {with_restart:.0?}");
 
-    fleet.platform.set_fault(Fault::Out);
+    fleet.platform.set_fault(Fault::Unavailable);
     let version = fleet.publish_rules(RULES);
     sleep(Duration::from_secs(3)).await;
     let end = Instant::now();
--- a/crates/jaypin_bench/src/load/capacity.rs
+++ b/crates/jaypin_bench/src/load/capacity.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use jaypin_standin::{EngineConfig, HeldBlocks};
+use jaypin_standin::{EngineConfig, ServiceBlocks};
 
 use super::Mix;
 
@@ -22,7 +22,7 @@
 /// So many engines of three speeds, which share a count of the blocks they hold.
 #[must_use]
 pub fn unlike_engines(count: usize, report_lag: Duration) -> Vec<EngineConfig> {
-    let held = HeldBlocks::default();
+    let held = ServiceBlocks::default();
     (0..count)
         .map(|index| {
             let (gap, prefill_rate) = SPEEDS[index % SPEEDS.len()];
@@ -34,7 +34,7 @@
                 prefill_rate,
                 cache_blocks: CACHE_BLOCKS,
                 report_lag,
-                held: held.clone(),
+                service_blocks: held.clone(),
                 ..EngineConfig::default()
             }
         })
--- a/crates/jaypin_bench/src/torture/faults.rs
+++ b/crates/jaypin_bench/src/torture/faults.rs
@@ -155,7 +155,7 @@
                 self.fleet.engines[place].crash();
                 true
             }
-            Fault::PlatformOut => self.platform(PlatformFault::Out),
+            Fault::PlatformOut => self.platform(PlatformFault::Unavailable),
             Fault::PlatformSlow => self.platform(PlatformFault::Slow(SLOW)),
             Fault::PlatformStale => self.platform(PlatformFault::StaleReads),
             Fault::SilencePlatform => self.silence_platform(ProxyMode::BlackholeOpen),
--- a/crates/jaypin_bench/src/torture/runner.rs
+++ b/crates/jaypin_bench/src/torture/runner.rs
@@ -141,7 +141,7 @@
 async fn start(cfg: &TortureConfig) -> Result<Fleet, AnyError> {
     let engine = EngineConfig {
         gap: Duration::from_millis(10),
-        crash_for: Some(Duration::from_millis(500)),
+        crash_downtime: Some(Duration::from_millis(500)),
         ..EngineConfig::default()
     };
     Fleet::start(FleetConfig {
--- a/crates/jaypin_bench/tests/leaving.rs
+++ b/crates/jaypin_bench/tests/leaving.rs
@@ -60,8 +60,8 @@
 #[tokio::test]
 async fn a_leaving_backend_server_gets_nothing_new_while_the_platform_is_out() {
     let mut fleet = fleet().await;
-    fleet.platform.set_fault(Fault::Out);
-    fleet.engines[0].leave();
+    fleet.platform.set_fault(Fault::Unavailable);
+    fleet.engines[0].announce_leaving();
     until("a round passes it by", || round_without(&fleet, 0)).await;
     for _ in 0..3 {
         assert!(round_without(&fleet, 0).await);
--- a/crates/jaypin_bench/tests/operators.rs
+++ b/crates/jaypin_bench/tests/operators.rs
@@ -122,7 +122,7 @@
 async fn a_write_whose_answer_is_lost_is_settled() {
     let bench = Bench::start().await;
     let file = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
-    bench.fleet.platform.set_fault(Fault::LoseWriteAnswers);
+    bench.fleet.platform.set_fault(Fault::LoseWriteResponses);
     let done = bench.apply(&file, "1", "ann").await;
     assert_eq!(done.code, Some(0), "{}", done.stderr);
     assert!(
--- a/crates/jaypin_bench/tests/poison.rs
+++ b/crates/jaypin_bench/tests/poison.rs
@@ -33,7 +33,7 @@
     let mut specs = Vec::new();
     for index in 0..4 {
         let cfg = EngineConfig {
-            crash_for: Some(Duration::from_millis(300)),
+            crash_downtime: Some(Duration::from_millis(300)),
             ..EngineConfig::default()
         };
         let engine = engine(cfg).await;
--- a/crates/jaypin_bench/tests/rules_spread.rs
+++ b/crates/jaypin_bench/tests/rules_spread.rs
@@ -53,7 +53,7 @@
     until_all_alive(&fleet).await;
     let version = rules_version(&fleet.hosts[0]).await;
     fleet.hosts[2].kill();
-    fleet.platform.set_fault(Fault::Out);
+    fleet.platform.set_fault(Fault::Unavailable);
     fleet.hosts[2].start().expect("started");
     fleet.hosts[2].wait_ready().await.expect("ready");
     assert_eq!(rules_version(&fleet.hosts[2]).await, version);
--- a/crates/jaypin_bench/tests/whole_answers.rs
+++ b/crates/jaypin_bench/tests/whole_answers.rs
@@ -166,7 +166,7 @@
 #[tokio::test]
 async fn a_crash_before_the_head_is_answered() {
     let cfg = EngineConfig {
-        crash_for: Some(Duration::from_millis(200)),
+        crash_downtime: Some(Duration::from_millis(200)),
         ..EngineConfig::default()
     };
     let engine = engine(cfg).await;
--- a/crates/jaypin_standin/src/engine/config.rs
+++ b/crates/jaypin_standin/src/engine/config.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::prefix_cache::HeldBlocks;
+use crate::prefix_cache::ServiceBlocks;
 
 /// What an engine is like.
 #[derive(Debug, Clone)]
@@ -26,11 +26,11 @@
     /// One cache event in this many is never told; none: all are.
     pub cache_event_loss: Option<u64>,
     /// Blocks that any engine of the service holds, for counting what is computed again.
-    pub held: HeldBlocks,
+    pub service_blocks: ServiceBlocks,
     /// How old a load report is.
     pub report_lag: Duration,
     /// How long the engine is gone after a poisonous request; none: it doesn't crash.
-    pub crash_for: Option<Duration>,
+    pub crash_downtime: Option<Duration>,
     /// Whether an order with an old fencing number is refused.
     pub checks_fencing: bool,
 }
@@ -47,9 +47,9 @@
             cache_blocks: 4_096,
             cache_event_lag: Duration::from_millis(500),
             cache_event_loss: Some(10),
-            held: HeldBlocks::default(),
+            service_blocks: ServiceBlocks::default(),
             report_lag: Duration::from_secs(1),
-            crash_for: None,
+            crash_downtime: None,
             checks_fencing: false,
         }
     }
--- a/crates/jaypin_standin/src/engine/mod.rs
+++ b/crates/jaypin_standin/src/engine/mod.rs
@@ -100,7 +100,7 @@
             slowdown: 1.0,
             cache: PrefixCache::new(
                 cfg.cache_blocks,
-                cfg.held.clone(),
+                cfg.service_blocks.clone(),
                 cfg.cache_event_lag,
                 cfg.cache_event_loss,
             ),
@@ -133,7 +133,7 @@
     }
 
     /// Says in its load reports that it is leaving.
-    pub fn leave(&self) {
+    pub fn announce_leaving(&self) {
         self.state.lock().leaving = true;
     }
 
@@ -166,7 +166,7 @@
         state.crash.notified().await;
         drop(server);
         state.forget();
-        sleep(state.cfg.crash_for.unwrap_or_default()).await;
+        sleep(state.cfg.crash_downtime.unwrap_or_default()).await;
         while listener.is_none() {
             listener = tokio::net::TcpListener::bind(address).await.ok();
             sleep(Duration::from_millis(10)).await;
@@ -265,7 +265,7 @@
     };
     let text = call.text();
     let stream = begin(&state, &id, &call, &text);
-    if state.cfg.crash_for.is_some() && text.contains(POISON) {
+    if state.cfg.crash_downtime.is_some() && text.contains(POISON) {
         state.crash.notify_one();
         std::future::pending::<()>().await;
     }
--- a/crates/jaypin_standin/src/lib.rs
+++ b/crates/jaypin_standin/src/lib.rs
@@ -14,5 +14,5 @@
 pub use engine::{Engine, EngineConfig, Execution, expected_answer};
 pub use http::unix_ms;
 pub use platform::{Fault, Platform, PlatformCalls};
-pub use prefix_cache::{CHARS_PER_TOKEN, CacheEvent, CacheEvents, HeldBlocks};
+pub use prefix_cache::{CHARS_PER_TOKEN, CacheEvent, CacheEvents, ServiceBlocks};
 pub use proxy::{Proxy, ProxyMode};
--- a/crates/jaypin_standin/src/platform.rs
+++ b/crates/jaypin_standin/src/platform.rs
@@ -29,11 +29,11 @@
     #[default]
     None,
     /// Every call fails.
-    Out,
+    Unavailable,
     /// Every call takes this much longer.
     Slow(Duration),
     /// Writes take effect and their answers are lost.
-    LoseWriteAnswers,
+    LoseWriteResponses,
     /// Reads answer the version before the newest.
     StaleReads,
 }
@@ -158,7 +158,7 @@
     let fault = state.lock().fault;
     count(&state, &req);
     match fault {
-        Fault::Out => return json(StatusCode::SERVICE_UNAVAILABLE, &"the platform is out"),
+        Fault::Unavailable => return json(StatusCode::SERVICE_UNAVAILABLE, &"the platform is out"),
         Fault::Slow(by) => tokio::time::sleep(by).await,
         _ => {}
     }
@@ -232,7 +232,7 @@
         );
     }
     let version = state.store(key, value);
-    if fault == Fault::LoseWriteAnswers {
+    if fault == Fault::LoseWriteResponses {
         return json(StatusCode::GATEWAY_TIMEOUT, &"answer lost");
     }
     json(StatusCode::OK, &serde_json::json!({ "version": version }))
--- a/crates/jaypin_standin/src/prefix_cache.rs
+++ b/crates/jaypin_standin/src/prefix_cache.rs
@@ -19,9 +19,9 @@
 
 /// Blocks held by the engines of one service, shared by clones.
 #[derive(Debug, Clone, Default)]
-pub struct HeldBlocks(Arc<Mutex<HashMap<u64, usize>>>);
+pub struct ServiceBlocks(Arc<Mutex<HashMap<u64, usize>>>);
 
-impl HeldBlocks {
+impl ServiceBlocks {
     fn lock(&self) -> MutexGuard<'_, HashMap<u64, usize>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -64,7 +64,7 @@
     used: HashMap<u64, u64>,
     order: VecDeque<(u64, u64)>,
     clock: u64,
-    held: HeldBlocks,
+    held: ServiceBlocks,
     events: VecDeque<(Instant, CacheEvent)>,
     next_event: u64,
     lag: Duration,
@@ -73,7 +73,12 @@
 
 impl PrefixCache {
     /// An empty cache of so many blocks.
-    pub(crate) fn new(capacity: usize, held: HeldBlocks, lag: Duration, loss: Option<u64>) -> Self {
+    pub(crate) fn new(
+        capacity: usize,
+        held: ServiceBlocks,
+        lag: Duration,
+        loss: Option<u64>,
+    ) -> Self {
         Self {
             capacity,
             held,
--- a/crates/jaypin_standin/tests/prefix_cache.rs
+++ b/crates/jaypin_standin/tests/prefix_cache.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{Method, Request};
 use hyper_util::rt::TokioIo;
-use jaypin_standin::{CacheEvents, Engine, EngineConfig, HeldBlocks};
+use jaypin_standin::{CacheEvents, Engine, EngineConfig, ServiceBlocks};
 
 /// Characters of one block of the cache.
 const BLOCK: usize = 256;
@@ -44,7 +44,7 @@
         cache_blocks: 4,
         cache_event_lag: Duration::ZERO,
         cache_event_loss: None,
-        held: HeldBlocks::default(),
+        service_blocks: ServiceBlocks::default(),
         ..EngineConfig::default()
     }
 }
