--- a/crates/jaypin_standin/src/app.rs
+++ b/crates/jaypin_standin/src/app.rs
@@ -1,4 +1,4 @@
-//! A plain application service that writes down each execution.
+//! A test double of an application service. It records every call that it executes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,12 +11,12 @@
 
 use crate::http::{Body, bind, json, serve, unix_ms};
 
-/// What an application service is like.
+/// Configuration of an application service.
 #[derive(Debug, Clone)]
 pub struct AppConfig {
-    /// Address to listen on.
+    /// Address to listen on, as `IP:PORT`; port 0 picks a free port.
     pub address: String,
-    /// How long a call takes.
+    /// Time that each call takes.
     pub work: Duration,
 }
 
@@ -29,41 +29,41 @@
     }
 }
 
-/// One call that was executed.
+/// One call that the service executed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppCall {
-    /// Id that the caller of the service gave.
+    /// Request ID from the header `x-request-id`, empty if there is none.
     pub id: String,
-    /// The idempotency key, empty when there was none.
+    /// Idempotency key from the header `idempotency-key`, empty if there is none.
     pub key: String,
-    /// `METHOD /path`.
+    /// HTTP method and path, as `METHOD /path`.
     pub route: String,
-    /// The client account it was made for.
+    /// Client account from the header `x-jaypin-account`, empty if there is none.
     pub account: String,
-    /// When it came, in milliseconds since 1970.
+    /// Arrival time in milliseconds since the Unix epoch.
     #[serde(default)]
     pub began_ms: u64,
 }
 
-/// A running application service.
+/// A running application service; dropping it stops the server.
 #[derive(Debug)]
 pub struct App {
-    /// Where it listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
     calls: Arc<Mutex<Vec<AppCall>>>,
     server: JoinHandle<()>,
 }
 
 impl App {
-    /// Starts a service.
+    /// Starts an application service.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn start(cfg: AppConfig) -> std::io::Result<Self> {
         let (listener, address) = bind(&cfg.address).await?;
         let calls = Arc::new(Mutex::new(Vec::new()));
-        let log = calls.clone();
-        let server = serve(listener, move |req| execute(cfg.work, log.clone(), req));
+        let shared = calls.clone();
+        let server = serve(listener, move |req| execute(cfg.work, shared.clone(), req));
         Ok(Self {
             address,
             calls,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Everything it executed, in order.
+    /// Returns all calls that the service executed, in order of arrival.
     #[must_use]
     pub fn calls(&self) -> Vec<AppCall> {
         self.calls
@@ -80,7 +80,7 @@
             .clone()
     }
 
-    /// Ends it at once, cutting all connections.
+    /// Stops the service immediately and closes all connections.
     pub fn kill(&self) {
         self.server.abort();
     }
@@ -94,20 +94,20 @@
 
 async fn execute(
     work: Duration,
-    log: Arc<Mutex<Vec<AppCall>>>,
+    calls: Arc<Mutex<Vec<AppCall>>>,
     req: Request<Incoming>,
 ) -> Response<Body> {
     if req.uri().path() == "/executions" {
         return json(
             StatusCode::OK,
-            &*log.lock().unwrap_or_else(PoisonError::into_inner),
+            &*calls.lock().unwrap_or_else(PoisonError::into_inner),
         );
     }
     if req.uri().path() == "/load" {
-        // Load reports are the engines' protocol; asking for one is no execution.
+        // Only engines serve load reports, so a request for one isn't recorded as an executed call.
         return json(StatusCode::NOT_FOUND, &"no load reports");
     }
-    let text = |name: &str| {
+    let header = |name: &str| {
         let value = req
             .headers()
             .get(name)
@@ -115,13 +115,14 @@
         value.unwrap_or_default().to_owned()
     };
     let call = AppCall {
-        id: text("x-request-id"),
-        key: text("idempotency-key"),
+        id: header("x-request-id"),
+        key: header("idempotency-key"),
         route: format!("{} {}", req.method(), req.uri().path()),
-        account: text("x-jaypin-account"),
+        account: header("x-jaypin-account"),
         began_ms: unix_ms(),
     };
-    log.lock()
+    calls
+        .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .push(call.clone());
     tokio::time::sleep(work).await;
--- a/crates/jaypin_standin/src/engine/call.rs
+++ b/crates/jaypin_standin/src/engine/call.rs
@@ -1,8 +1,8 @@
-//! A completion request, as far as the engine looks at it.
+//! The fields of a completion request that the engine uses.
 
 use serde::Deserialize;
 
-/// The request.
+/// A completion or chat completion request.
 #[derive(Debug, Deserialize)]
 pub struct Call {
     #[serde(default)]
@@ -11,25 +11,25 @@
     pub prompt: String,
     #[serde(default)]
     pub messages: Vec<ChatMessage>,
-    #[serde(default = "sixteen")]
+    #[serde(default = "default_max_tokens")]
     pub max_tokens: u64,
     #[serde(default)]
     pub stream: bool,
 }
 
-/// One message of a chat.
+/// One message of a chat completion request.
 #[derive(Debug, Deserialize)]
 pub struct ChatMessage {
     #[serde(default)]
     pub content: String,
 }
 
-fn sixteen() -> u64 {
+fn default_max_tokens() -> u64 {
     16
 }
 
 impl Call {
-    /// All text of the prompt, in order.
+    /// Returns the prompt followed by the contents of all messages, in order.
     pub fn text(&self) -> String {
         let mut text = self.prompt.clone();
         for message in &self.messages {
--- a/crates/jaypin_standin/src/engine/config.rs
+++ b/crates/jaypin_standin/src/engine/config.rs
@@ -1,37 +1,40 @@
-//! What an engine is like.
+//! Configuration of an engine.
 
 use std::time::Duration;
 
 use crate::prefix_cache::ServiceBlocks;
 
-/// What an engine is like.
+/// Capacity, speed and simulated faults of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// Address to listen on.
+    /// Address to listen on, as `IP:PORT`; port 0 picks a free port.
     pub address: String,
-    /// Requests that run at once; more wait inside.
+    /// Number of requests that run at the same time; the engine queues further ones.
     pub slots: usize,
-    /// Prefill speed in tokens a second.
+    /// Prefill rate in tokens per second.
     pub prefill_rate: f64,
-    /// Time between tokens of a single stream.
+    /// Time between two tokens of a stream while at most `knee` streams run.
     pub gap: Duration,
-    /// Streams that run without lengthening the gap.
+    /// Number of concurrent streams up to which the gap between tokens doesn't grow.
     pub knee: usize,
-    /// Share by which each stream beyond the knee lengthens the gap.
+    /// Fraction of `gap` that each stream beyond `knee` adds to the gap between tokens.
     pub gap_growth: f64,
-    /// Blocks in the prefix cache.
+    /// Capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// How late a cache event is told.
+    /// Delay after which a cache event appears in `GET /cache-events`.
     pub cache_event_lag: Duration,
-    /// One cache event in this many is never told; none: all are.
+    /// Interval of lost cache events: every n-th event is never reported. `None` means that all
+    /// events are reported.
     pub cache_event_loss: Option<u64>,
-    /// Blocks that any engine of the service holds, for counting what is computed again.
+    /// Blocks cached by any engine of the service; used to count tokens that are recomputed
+    /// although another engine has them cached.
     pub service_blocks: ServiceBlocks,
-    /// How old a load report is.
+    /// Minimum age of the load that `GET /load` reports, once a load that old is recorded.
     pub report_lag: Duration,
-    /// How long the engine is gone after a poisonous request; none: it doesn't crash.
+    /// Time for which the engine is down after a request whose text contains `POISON` crashed it.
+    /// `None` means that such a request doesn't crash the engine.
     pub crash_downtime: Option<Duration>,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether the engine rejects a request whose fencing number has an outdated incarnation.
     pub checks_fencing: bool,
 }
 
@@ -56,7 +59,7 @@
 }
 
 impl EngineConfig {
-    /// Time between tokens of each of so many streams.
+    /// Returns the time between two tokens of a stream while `running` streams run.
     #[must_use]
     pub fn gap_with(&self, running: usize) -> Duration {
         let beyond = u32::try_from(running.saturating_sub(self.knee)).unwrap_or(u32::MAX);
--- a/crates/jaypin_standin/src/engine/mod.rs
+++ b/crates/jaypin_standin/src/engine/mod.rs
@@ -1,4 +1,5 @@
-//! A continuous-batching engine: slots, prefill, a prefix cache, resumable streams.
+//! A test double of a continuous-batching inference engine with a limited number of slots, prefill
+//! time, a prefix cache and resumable streams.
 
 mod call;
 mod config;
@@ -21,39 +22,39 @@
 use call::Call;
 pub use config::EngineConfig;
 pub use stream::expected_answer;
-use stream::{Stream, events, whole};
+use stream::{Stream, event_stream, whole_response};
 
 use crate::http::{Body, bind, json, query_number, serve, unix_ms};
 use crate::prefix_cache::PrefixCache;
 
-/// Text that crashes an engine which is set to be poisoned by it.
+/// Prompt text that crashes an engine if `EngineConfig::crash_downtime` is set.
 const POISON: &str = "POISON";
 
-/// One request that the engine took up.
+/// One request that the engine accepted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Execution {
-    /// Id that the caller of the engine gave.
+    /// Request ID from the header `x-request-id`, `unnamed` if there is none.
     pub id: String,
-    /// When it came, in milliseconds since 1970.
+    /// Arrival time in milliseconds since the Unix epoch.
     #[serde(default)]
     pub began_ms: u64,
-    /// Tokens prefilled, without those found in the cache.
+    /// Number of tokens prefilled, without those found in the cache.
     pub prefilled: u64,
-    /// Tokens found in the cache.
+    /// Number of prompt tokens found in the cache.
     pub cached: u64,
-    /// Tokens prefilled although another engine of the service held them.
+    /// Number of tokens prefilled although another engine of the service had them cached.
     #[serde(default)]
     pub recomputed: u64,
-    /// Tokens generated so far.
+    /// Number of tokens generated so far.
     pub generated: u64,
-    /// Whether it was cancelled.
+    /// Whether the request was cancelled.
     pub cancelled: bool,
 }
 
-/// A running engine.
+/// A running engine; dropping it stops the server.
 #[derive(Debug)]
 pub struct Engine {
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
     state: Arc<State>,
     server: JoinHandle<()>,
@@ -62,10 +63,12 @@
 #[derive(Debug)]
 struct State {
     cfg: EngineConfig,
-    admit: Semaphore,
+    slots: Semaphore,
+    /// Locked by the request that is being prefilled; the engine prefills one request at a time.
     prefill: tokio::sync::Mutex<()>,
     inner: Mutex<Inner>,
-    crash: Notify,
+    /// Notified to crash the engine.
+    crash_requested: Notify,
 }
 
 #[derive(Debug, Default)]
@@ -73,11 +76,14 @@
     streams: HashMap<String, Arc<Stream>>,
     executions: Vec<Execution>,
     cache: PrefixCache,
+    /// Loads at the times of recent load reports, oldest first.
     loads: VecDeque<(Option<Instant>, Load)>,
     running: u32,
     waiting: u32,
+    /// Factor by which prefill and token generation are slowed down.
     slowdown: f64,
-    greatest_fence: (u64, u64),
+    /// Highest fencing number received so far, as incarnation and sequence.
+    highest_fencing_number: (u64, u64),
     leaving: bool,
 }
 
@@ -93,7 +99,7 @@
     /// Starts an engine.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn start(cfg: EngineConfig) -> std::io::Result<Self> {
         let (listener, address) = bind(&cfg.address).await?;
         let inner = Inner {
@@ -107,13 +113,13 @@
             ..Inner::default()
         };
         let state = Arc::new(State {
-            admit: Semaphore::new(cfg.slots),
+            slots: Semaphore::new(cfg.slots),
             prefill: tokio::sync::Mutex::new(()),
             inner: Mutex::new(inner),
-            crash: Notify::new(),
+            crash_requested: Notify::new(),
             cfg,
         });
-        let server = tokio::spawn(run(state.clone(), listener, address));
+        let server = tokio::spawn(serve_with_restarts(state.clone(), listener, address));
         Ok(Self {
             address,
             state,
@@ -121,28 +127,29 @@
         })
     }
 
-    /// Everything it took up, in order.
+    /// Returns all requests that the engine accepted, in order of arrival.
     #[must_use]
     pub fn executions(&self) -> Vec<Execution> {
         self.state.lock().executions.clone()
     }
 
-    /// Makes every step take `factor` times as long.
+    /// Multiplies the prefill time and the gaps between tokens by `factor`; 1.0 is normal speed.
     pub fn slow_down(&self, factor: f64) {
         self.state.lock().slowdown = factor;
     }
 
-    /// Says in its load reports that it is leaving.
+    /// Sets `leaving` in the load reports from now on.
     pub fn announce_leaving(&self) {
         self.state.lock().leaving = true;
     }
 
-    /// Crashes it: connections are cut, streams and cache lost; it comes back empty.
+    /// Crashes the engine: it closes all connections, loses its streams and its cache, and restarts
+    /// without them after the configured downtime.
     pub fn crash(&self) {
-        self.state.crash.notify_one();
+        self.state.crash_requested.notify_one();
     }
 
-    /// Ends it at once, cutting all connections.
+    /// Stops the engine immediately and closes all connections.
     pub fn kill(&self) {
         self.server.abort();
     }
@@ -154,8 +161,13 @@
     }
 }
 
-/// Serves, and after a crash is gone for a while and starts empty at the same address.
-async fn run(state: Arc<State>, listener: tokio::net::TcpListener, address: SocketAddr) {
+/// Serves requests. After a crash, waits for the configured downtime and then serves again at the
+/// same address, without streams and with an empty cache.
+async fn serve_with_restarts(
+    state: Arc<State>,
+    listener: tokio::net::TcpListener,
+    address: SocketAddr,
+) {
     let mut listener = Some(listener);
     loop {
         let Some(current) = listener.take() else {
@@ -163,9 +175,9 @@
         };
         let shared = state.clone();
         let server = AbortOnDrop(serve(current, move |req| handle(shared.clone(), req)));
-        state.crash.notified().await;
+        state.crash_requested.notified().await;
         drop(server);
-        state.forget();
+        state.discard_streams_and_cache();
         sleep(state.cfg.crash_downtime.unwrap_or_default()).await;
         while listener.is_none() {
             listener = tokio::net::TcpListener::bind(address).await.ok();
@@ -187,7 +199,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn forget(&self) {
+    fn discard_streams_and_cache(&self) {
         let mut inner = self.lock();
         for stream in inner.streams.values() {
             stream.cancelled.notify_one();
@@ -196,32 +208,34 @@
         inner.cache.clear();
     }
 
-    fn gap(&self) -> Duration {
+    fn token_gap(&self) -> Duration {
         let inner = self.lock();
         let running = usize::try_from(inner.running).unwrap_or(usize::MAX);
         self.cfg.gap_with(running).mul_f64(inner.slowdown)
     }
 
-    fn report(&self) -> Load {
+    /// Returns the load as it was at the latest report that is at least `report_lag` old, or the
+    /// oldest recorded load if no report is that old.
+    fn load_report(&self) -> Load {
         let mut inner = self.lock();
         let now = Instant::now();
-        let fresh = Load {
+        let current = Load {
             running: inner.running,
             waiting: inner.waiting,
             leaving: inner.leaving,
             age_ms: 0,
         };
-        inner.loads.push_back((Some(now), fresh));
+        inner.loads.push_back((Some(now), current));
         let lag = self.cfg.report_lag;
-        let old = |entry: Option<&(Option<Instant>, Load)>| {
+        let exceeds_lag = |entry: Option<&(Option<Instant>, Load)>| {
             entry
                 .and_then(|(at, _)| *at)
                 .is_some_and(|at| now.duration_since(at) >= lag)
         };
-        while old(inner.loads.get(1)) {
+        while exceeds_lag(inner.loads.get(1)) {
             inner.loads.pop_front();
         }
-        let (at, load) = inner.loads.front().copied().unwrap_or((None, fresh));
+        let (at, load) = inner.loads.front().copied().unwrap_or((None, current));
         let age = at.map_or(Duration::ZERO, |at| now.duration_since(at));
         Load {
             age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
@@ -234,7 +248,7 @@
     let path = req.uri().path().to_owned();
     match (req.method().clone(), path.as_str()) {
         (Method::POST, "/v1/chat/completions" | "/v1/completions") => complete(state, req).await,
-        (Method::GET, "/load") => json(StatusCode::OK, &state.report()),
+        (Method::GET, "/load") => json(StatusCode::OK, &state.load_report()),
         (Method::GET, "/cache-events") => {
             let since = query_number(&req, "since");
             json(StatusCode::OK, &state.lock().cache.events(since))
@@ -253,7 +267,7 @@
 }
 
 async fn complete(state: Arc<State>, req: Request<Incoming>) -> Response<Body> {
-    if state.cfg.checks_fencing && !fence_is_new(&state, &req) {
+    if state.cfg.checks_fencing && !has_current_incarnation(&state, &req) {
         return json(StatusCode::CONFLICT, &"old fencing number");
     }
     let id = header(&req, "x-request-id").unwrap_or("unnamed").to_owned();
@@ -264,16 +278,16 @@
         return json(StatusCode::BAD_REQUEST, &"not a completion request");
     };
     let text = call.text();
-    let stream = begin(&state, &id, &call, &text);
+    let stream = record_start(&state, &id, &call, &text);
     if state.cfg.crash_downtime.is_some() && text.contains(POISON) {
-        state.crash.notify_one();
+        state.crash_requested.notify_one();
         std::future::pending::<()>().await;
     }
     tokio::spawn(generate(state, stream.clone(), text));
     if call.stream {
-        events(stream, 0)
+        event_stream(stream, 0)
     } else {
-        whole(stream, &call.model).await
+        whole_response(stream, &call.model).await
     }
 }
 
@@ -281,8 +295,12 @@
     req.headers().get(name)?.to_str().ok()
 }
 
-/// A fencing number is `incarnation.sequence`; a smaller incarnation is an old holder's.
-fn fence_is_new(state: &State, req: &Request<Incoming>) -> bool {
+/// Records the fencing number of a request and returns whether its incarnation is current.
+///
+/// A fencing number is written as `incarnation.sequence`. An incarnation below the highest one
+/// received means that a former shard scheduler granted the request. A request without a fencing
+/// number passes.
+fn has_current_incarnation(state: &State, req: &Request<Incoming>) -> bool {
     let Some((incarnation, sequence)) =
         header(req, "x-fencing-number").and_then(|value| value.split_once('.'))
     else {
@@ -293,18 +311,18 @@
         sequence.parse().unwrap_or(0),
     );
     let mut inner = state.lock();
-    let new = number.0 >= inner.greatest_fence.0;
-    inner.greatest_fence = inner.greatest_fence.max(number);
-    new
+    let is_current = number.0 >= inner.highest_fencing_number.0;
+    inner.highest_fencing_number = inner.highest_fencing_number.max(number);
+    is_current
 }
 
-fn begin(state: &State, id: &str, call: &Call, text: &str) -> Arc<Stream> {
+fn record_start(state: &State, id: &str, call: &Call, text: &str) -> Arc<Stream> {
     let mut inner = state.lock();
     let stream = Arc::new(Stream {
         total: call.max_tokens,
         seed: xxh3_64(text.as_bytes()),
         index: inner.executions.len(),
-        made: watch::Sender::new(0),
+        generated: watch::Sender::new(0),
         cancelled: Notify::new(),
     });
     inner.executions.push(Execution {
@@ -323,10 +341,10 @@
 async fn generate(state: Arc<State>, stream: Arc<Stream>, text: String) {
     state.lock().waiting += 1;
     let permit = tokio::select! {
-        permit = state.admit.acquire() => permit,
+        permit = state.slots.acquire() => permit,
         () = stream.cancelled.notified() => {
             state.lock().waiting -= 1;
-            return end(&state, &stream, true);
+            return record_end(&state, &stream, true);
         }
     };
     {
@@ -335,51 +353,51 @@
         inner.running += 1;
     }
     let cancelled = tokio::select! {
-        () = produce(&state, &stream, &text) => false,
+        () = prefill_and_decode(&state, &stream, &text) => false,
         () = stream.cancelled.notified() => true,
     };
     state.lock().running -= 1;
     drop(permit);
-    end(&state, &stream, cancelled);
+    record_end(&state, &stream, cancelled);
 }
 
-fn end(state: &State, stream: &Stream, cancelled: bool) {
+fn record_end(state: &State, stream: &Stream, cancelled: bool) {
     if let Some(execution) = state.lock().executions.get_mut(stream.index) {
         execution.cancelled = cancelled;
     }
 }
 
-async fn produce(state: &State, stream: &Stream, text: &str) {
-    let turn = state.prefill.lock().await;
+async fn prefill_and_decode(state: &State, stream: &Stream, text: &str) {
+    let prefill_guard = state.prefill.lock().await;
     let (prefilled, slowdown) = {
         let mut inner = state.lock();
-        let found = inner.cache.take_up(text);
+        let usage = inner.cache.insert_prompt(text);
         if let Some(execution) = inner.executions.get_mut(stream.index) {
-            execution.prefilled = found.prefilled;
-            execution.cached = found.cached;
-            execution.recomputed = found.recomputed;
+            execution.prefilled = usage.prefilled;
+            execution.cached = usage.cached;
+            execution.recomputed = usage.recomputed;
         }
-        (found.prefilled, inner.slowdown)
+        (usage.prefilled, inner.slowdown)
     };
     #[expect(clippy::cast_precision_loss, reason = "token counts are small")]
     let seconds = prefilled as f64 / state.cfg.prefill_rate * slowdown;
     sleep(Duration::from_secs_f64(seconds)).await;
-    drop(turn);
-    for made in 1..=stream.total {
-        if made > 1 {
-            sleep(state.gap()).await;
+    drop(prefill_guard);
+    for count in 1..=stream.total {
+        if count > 1 {
+            sleep(state.token_gap()).await;
         }
         if let Some(execution) = state.lock().executions.get_mut(stream.index) {
-            execution.generated = made;
+            execution.generated = count;
         }
-        stream.made.send_replace(made);
+        stream.generated.send_replace(count);
     }
 }
 
 fn resume(state: &State, id: &str, offset: u64) -> Response<Body> {
     let stream = state.lock().streams.get(id).cloned();
     match stream {
-        Some(stream) => events(stream, offset),
+        Some(stream) => event_stream(stream, offset),
         None => json(StatusCode::NOT_FOUND, &"no such stream"),
     }
 }
--- a/crates/jaypin_standin/src/engine/stream.rs
+++ b/crates/jaypin_standin/src/engine/stream.rs
@@ -1,4 +1,5 @@
-//! A stream of tokens: made once, read from any offset by any connection.
+//! A stream of generated tokens. Tokens are generated once; any connection can read them from any
+//! offset.
 
 use std::sync::Arc;
 
@@ -11,22 +12,22 @@
 
 use crate::http::{Body, json};
 
-/// One stream of an engine.
+/// The token stream of one request.
 #[derive(Debug)]
 pub struct Stream {
-    /// Tokens that it will have.
+    /// Number of tokens in the complete stream.
     pub total: u64,
-    /// What its tokens are derived from.
+    /// Hash of the prompt, from which the tokens are derived.
     pub seed: u64,
-    /// Place of its execution in the log.
+    /// Index of the request in the engine's list of executions.
     pub index: usize,
-    /// Tokens made so far.
-    pub made: watch::Sender<u64>,
-    /// Told when nobody wants the rest.
+    /// Number of tokens generated so far.
+    pub generated: watch::Sender<u64>,
+    /// Notified when the request is cancelled or the engine crashes.
     pub cancelled: Notify,
 }
 
-/// The answer that any engine gives to a text, for whoever checks answers.
+/// Returns the text that any engine generates for a prompt, so that tests can check responses.
 #[must_use]
 pub fn expected_answer(text: &str, max_tokens: u64) -> String {
     let seed = xxh3_64(text.as_bytes());
@@ -37,18 +38,19 @@
     format!("w{}.{index} ", seed % 100_000)
 }
 
-/// Server-sent events from an offset on, as tokens are made.
-pub fn events(stream: Arc<Stream>, offset: u64) -> Response<Body> {
+/// Returns a response that sends one server-sent event for each token from `offset` on, as soon as
+/// the token is generated.
+pub fn event_stream(stream: Arc<Stream>, offset: u64) -> Response<Body> {
     let (tx, rx) = mpsc::channel::<Result<Frame<Bytes>, std::io::Error>>(16);
     tokio::spawn(async move {
-        let mut made = stream.made.subscribe();
+        let mut generated = stream.generated.subscribe();
         let mut next = offset;
         while next < stream.total {
-            let upto = match made.wait_for(|made| *made > next).await {
-                Ok(made) => *made,
+            let available = match generated.wait_for(|count| *count > next).await {
+                Ok(count) => *count,
                 Err(_) => return,
             };
-            while next < upto {
+            while next < available {
                 let chunk = serde_json::json!({
                     "object": "chat.completion.chunk",
                     "choices": [{"index": 0, "delta": {"content": token(stream.seed, next)}}],
@@ -73,25 +75,29 @@
     response
 }
 
-/// The answer as one JSON document, once all tokens are made.
-pub async fn whole(stream: Arc<Stream>, model: &str) -> Response<Body> {
-    let mut made = stream.made.subscribe();
-    if made.wait_for(|made| *made >= stream.total).await.is_err() {
+/// Waits until all tokens are generated and returns them as one JSON document.
+pub async fn whole_response(stream: Arc<Stream>, model: &str) -> Response<Body> {
+    let mut generated = stream.generated.subscribe();
+    if generated
+        .wait_for(|count| *count >= stream.total)
+        .await
+        .is_err()
+    {
         return json(StatusCode::INTERNAL_SERVER_ERROR, &"engine stopped");
     }
     let content: String = (0..stream.total)
         .map(|index| token(stream.seed, index))
         .collect();
-    let answer = serde_json::json!({
+    let document = serde_json::json!({
         "object": "chat.completion",
         "model": model,
         "choices": [{"index": 0, "message": {"role": "assistant", "content": content}}],
         "usage": {"completion_tokens": stream.total},
     });
-    json(StatusCode::OK, &answer)
+    json(StatusCode::OK, &document)
 }
 
-/// A channel's receiver as a stream of frames.
+/// Adapts the receiver of a channel to a `futures_util::Stream`.
 struct Receiver<T>(mpsc::Receiver<T>);
 
 impl<T> futures_util::Stream for Receiver<T> {
--- a/crates/jaypin_standin/src/http.rs
+++ b/crates/jaypin_standin/src/http.rs
@@ -1,4 +1,4 @@
-//! The small HTTP server under all stand-ins.
+//! The HTTP server and request helpers that the test doubles share.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -16,10 +16,12 @@
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Body of every answer; an error in it breaks the connection off.
+/// Body of every response; an error in the body closes the connection.
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Milliseconds since 1970, for logs that are joined with others'.
+/// Returns the milliseconds since the Unix epoch, so that logs of several processes can be merged.
+///
+/// Returns 0 if the system clock is before the epoch.
 #[must_use]
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -28,14 +30,14 @@
     })
 }
 
-/// Binds a listener, on a free port of the loopback address for `127.0.0.1:0`.
+/// Binds a listener and returns it with its address; port 0 picks a free port.
 pub async fn bind(address: &str) -> std::io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-/// Serves until the task is aborted; aborting cuts every connection.
+/// Serves requests until the returned task is aborted, which closes all connections.
 pub fn serve<H, F>(listener: TcpListener, handler: H) -> JoinHandle<()>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -51,8 +53,8 @@
                     let handler = handler.clone();
                     connections.spawn(async move {
                         let service = service_fn(move |req| {
-                            let answer = handler(req);
-                            async move { Ok::<_, Infallible>(answer.await) }
+                            let response = handler(req);
+                            async move { Ok::<_, Infallible>(response.await) }
                         });
                         let _ = hyper::server::conn::http1::Builder::new()
                             .serve_connection(TokioIo::new(stream), service)
@@ -65,7 +67,7 @@
     })
 }
 
-/// An answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let body = Full::new(Bytes::from(bytes))
@@ -80,7 +82,7 @@
     response
 }
 
-/// Value of a query parameter.
+/// Returns the value of a query parameter, without percent-decoding.
 pub fn query<'a>(req: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
     let pairs = req.uri().query()?.split('&');
     pairs
@@ -89,7 +91,7 @@
         .map(|(_, v)| v)
 }
 
-/// Value of a numeric query parameter, 0 when absent.
+/// Returns the value of a numeric query parameter, or 0 if it is absent or not a number.
 pub fn query_number(req: &Request<Incoming>, name: &str) -> u64 {
     query(req, name)
         .and_then(|value| value.parse().ok())
--- a/crates/jaypin_standin/src/lib.rs
+++ b/crates/jaypin_standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the systems that jaypin meets; never shipped.
+//! Test doubles for the systems that jaypin talks to; not part of a release.
 //!
-//! Each runs inside any tokio runtime, as tasks of a test, or as a process of its own
-//! by the command `jaypin-standin`.
+//! Each test double runs either as tasks on the tokio runtime of a test or as a separate
+//! process that the command `jaypin-standin` starts.
 
 mod app;
 mod engine;
--- a/crates/jaypin_standin/src/main.rs
+++ b/crates/jaypin_standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `jaypin-standin`: one stand-in as a process of its own.
+//! `jaypin-standin`: runs one test double as a separate process.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
        jaypin-standin app      [--listen IP:PORT] [--work-ms N]
        jaypin-standin platform [--listen IP:PORT]
        jaypin-standin proxy    --target IP:PORT [--listen IP:PORT]
-Each prints `listening on IP:PORT` and runs until it is ended.";
+Each prints `listening on IP:PORT` and runs until it is stopped.";
 
 #[derive(Debug, Default)]
 struct Args {
@@ -55,7 +55,7 @@
         "engine" => {
             let engine = Engine::start(engine_config(&args, listen)).await?;
             println!("listening on {}", engine.address);
-            wait().await
+            run_forever().await
         }
         "app" => {
             let mut cfg = AppConfig {
@@ -67,12 +67,12 @@
             }
             let app = App::start(cfg).await?;
             println!("listening on {}", app.address);
-            wait().await
+            run_forever().await
         }
         "platform" => {
             let platform = Platform::start(&listen).await?;
             println!("listening on {}", platform.address);
-            wait().await
+            run_forever().await
         }
         "proxy" => {
             let target = args
@@ -82,7 +82,7 @@
                 .parse()?;
             let proxy = Proxy::start(&listen, target).await?;
             println!("listening on {}", proxy.address);
-            wait().await
+            run_forever().await
         }
         _ => {
             println!("{USAGE}");
@@ -108,7 +108,7 @@
     cfg
 }
 
-async fn wait() -> Result<(), AnyError> {
+async fn run_forever() -> Result<(), AnyError> {
     std::future::pending::<()>().await;
     Ok(())
 }
--- a/crates/jaypin_standin/src/platform.rs
+++ b/crates/jaypin_standin/src/platform.rs
@@ -1,8 +1,12 @@
-//! The platform's object API: versions, conditional updates, watches, counted calls.
+//! A test double of the platform's object store: versioned values, conditional writes and
+//! watches. It counts the calls that it receives.
 //!
-//! - `GET /objects/KEY` answers the value with its version in `x-version`.
-//! - `GET /objects/KEY?after=V&wait_ms=W` waits until the version is greater than V.
-//! - `PUT /objects/KEY?if_version=V` writes when the version is V, else answers 409.
+//! - `GET /objects/KEY` returns the value, with its version in the header `x-version`.
+//! - `GET /objects/KEY?after=V&wait_ms=W` waits up to W milliseconds until the version is greater
+//!   than V, then returns the value.
+//! - `PUT /objects/KEY?if_version=V` writes the value if the version is V; otherwise it returns
+//!   status 409 with the current version.
+//! - `GET /calls` returns the counts of calls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,40 +23,40 @@
 
 use crate::http::{Body, bind, json, query, query_number, serve};
 
-/// Greatest value, as the platform promises.
+/// Largest size of a value in bytes, as the real platform guarantees it.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// What is wrong with the platform.
+/// A fault that the platform simulates.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// The platform works normally.
     #[default]
     None,
-    /// Every call fails.
+    /// Every call fails with status 503.
     Unavailable,
-    /// Every call takes this much longer.
+    /// Every call is delayed by this duration.
     Slow(Duration),
-    /// Writes take effect and their answers are lost.
+    /// Writes take effect, but their response is replaced by status 504.
     LoseWriteResponses,
-    /// Reads answer the version before the newest.
+    /// Reads and watches return the version before the current one.
     StaleReads,
 }
 
-/// Calls counted so far.
+/// Numbers of calls received since the platform started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCalls {
-    /// Reads.
+    /// Number of reads.
     pub reads: u64,
-    /// Writes.
+    /// Number of writes.
     pub writes: u64,
-    /// Watches, one for each wait.
+    /// Number of watches; each request with `wait_ms` counts as one.
     pub watches: u64,
 }
 
-/// A running platform.
+/// A running platform server; dropping it stops the server.
 #[derive(Debug)]
 pub struct Platform {
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     state: Arc<State>,
     server: JoinHandle<()>,
@@ -61,21 +65,23 @@
 #[derive(Debug, Default)]
 struct State {
     inner: Mutex<Inner>,
-    changed: watch::Sender<u64>,
+    /// Number of writes so far; waiting watches are notified when it changes.
+    write_count: watch::Sender<u64>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
+    /// Up to the last two versions of each object, oldest first.
     objects: BTreeMap<String, Vec<(u64, Bytes)>>,
     calls: PlatformCalls,
     fault: Fault,
 }
 
 impl Platform {
-    /// Starts a platform.
+    /// Starts a platform server on `address`.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn start(address: &str) -> std::io::Result<Self> {
         let (listener, address) = bind(address).await?;
         let state = Arc::new(State::default());
@@ -88,23 +94,23 @@
         })
     }
 
-    /// Makes something go wrong from now on.
+    /// Sets the fault that applies to all later calls.
     pub fn set_fault(&self, fault: Fault) {
         self.state.lock().fault = fault;
     }
 
-    /// Calls counted so far.
+    /// Returns the numbers of calls received so far.
     #[must_use]
     pub fn calls(&self) -> PlatformCalls {
         self.state.lock().calls
     }
 
-    /// Writes an object without a call; gives its version.
+    /// Writes an object directly, without counting a call, and returns its new version.
     pub fn put(&self, key: &str, value: impl Into<Bytes>) -> u64 {
         self.state.store(key, value.into())
     }
 
-    /// Reads an object without a call.
+    /// Reads the version and value of an object directly, without counting a call.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<(u64, Bytes)> {
         self.state.lock().objects.get(key)?.last().cloned()
@@ -133,7 +139,7 @@
             }
             version
         };
-        self.changed.send_modify(|count| *count += 1);
+        self.write_count.send_modify(|count| *count += 1);
         version
     }
 
@@ -156,10 +162,10 @@
         return json(StatusCode::NOT_FOUND, &"no such path");
     };
     let fault = state.lock().fault;
-    count(&state, &req);
+    count_call(&state, &req);
     match fault {
         Fault::Unavailable => return json(StatusCode::SERVICE_UNAVAILABLE, &"the platform is out"),
-        Fault::Slow(by) => tokio::time::sleep(by).await,
+        Fault::Slow(delay) => tokio::time::sleep(delay).await,
         _ => {}
     }
     match *req.method() {
@@ -169,7 +175,7 @@
     }
 }
 
-fn count(state: &State, req: &Request<Incoming>) {
+fn count_call(state: &State, req: &Request<Incoming>) {
     let calls = &mut state.lock().calls;
     if *req.method() == Method::PUT {
         calls.writes += 1;
@@ -183,12 +189,12 @@
 async fn get(state: &State, key: &str, req: &Request<Incoming>, fault: Fault) -> Response<Body> {
     let after = query_number(req, "after");
     let wait = Duration::from_millis(query_number(req, "wait_ms"));
-    let mut changed = state.changed.subscribe();
+    let mut writes = state.write_count.subscribe();
     let deadline = tokio::time::sleep(wait);
     tokio::pin!(deadline);
     while state.version(key) <= after && !wait.is_zero() {
         tokio::select! {
-            _ = changed.changed() => {}
+            _ = writes.changed() => {}
             () = &mut deadline => break,
         }
     }
@@ -198,8 +204,8 @@
         .get(key)
         .map(Vec::as_slice)
         .unwrap_or_default();
-    let back = if fault == Fault::StaleReads { 2 } else { 1 };
-    let Some((version, value)) = history.get(history.len().saturating_sub(back)) else {
+    let offset_from_end = if fault == Fault::StaleReads { 2 } else { 1 };
+    let Some((version, value)) = history.get(history.len().saturating_sub(offset_from_end)) else {
         return json(StatusCode::NOT_FOUND, &"no such object");
     };
     let body = Full::new(value.clone())
@@ -224,11 +230,11 @@
             &"a value has up to a megabyte",
         );
     }
-    let found = state.version(key);
-    if expected.is_some_and(|expected| expected != found) {
+    let current = state.version(key);
+    if expected.is_some_and(|expected| expected != current) {
         return json(
             StatusCode::CONFLICT,
-            &serde_json::json!({ "version": found }),
+            &serde_json::json!({ "version": current }),
         );
     }
     let version = state.store(key, value);
--- a/crates/jaypin_standin/src/proxy.rs
+++ b/crates/jaypin_standin/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP fault proxy: passes, delays, cuts, blackholes.
+//! A TCP proxy that injects network faults: delays, closed connections and lost bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,47 +9,48 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// What the proxy does with bytes.
+/// How the proxy treats connections and the bytes on them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// Passes them on.
+    /// Forwards all bytes.
     #[default]
     Pass,
-    /// Passes them on after a delay.
+    /// Forwards bytes after a delay.
     Delay(Duration),
-    /// Cuts connections and refuses new ones.
+    /// Closes all open connections, and closes new ones as soon as they are accepted.
     Cut,
-    /// Keeps connections open and drops what comes from the client; a connection that
-    /// lost a byte passes nothing more that way, also in a later mode.
+    /// Keeps connections open and drops bytes from the client. Once a connection has lost a byte,
+    /// nothing more is forwarded in that direction, even after the mode changes.
     BlackholeUp,
-    /// The same for what comes from the server.
+    /// Like `BlackholeUp`, but drops bytes from the server.
     BlackholeDown,
-    /// Keeps open connections and passes nothing on, either way, ever again;
-    /// connections opened later pass.
+    /// Keeps existing connections open but drops their bytes in both directions. Once a connection
+    /// has lost a byte, nothing more is forwarded in that direction, even after the mode changes.
+    /// Connections opened during this mode are forwarded.
     BlackholeOpen,
-    /// Passes nothing on, on any connection, until the mode changes; then goes on.
+    /// Holds back the bytes of all connections until the mode changes, then continues without loss.
     Freeze,
 }
 
-/// A running proxy.
+/// A running proxy; dropping it stops the proxy.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
     mode: Arc<watch::Sender<ProxyMode>>,
     server: JoinHandle<()>,
 }
 
 impl Proxy {
-    /// Starts a proxy before a target.
+    /// Starts a proxy on `address` that forwards connections to `target`.
     ///
     /// # Errors
-    /// When the address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn start(address: &str, target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let mode = Arc::new(watch::Sender::new(ProxyMode::Pass));
-        let server = tokio::spawn(accept(listener, target, mode.clone()));
+        let server = tokio::spawn(accept_connections(listener, target, mode.clone()));
         Ok(Self {
             address,
             mode,
@@ -57,7 +58,7 @@
         })
     }
 
-    /// Changes what it does, for open and new connections.
+    /// Sets the mode for open and new connections.
     pub fn set(&self, mode: ProxyMode) {
         self.mode.send_replace(mode);
     }
@@ -69,20 +70,24 @@
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, mode: Arc<watch::Sender<ProxyMode>>) {
+async fn accept_connections(
+    listener: TcpListener,
+    target: SocketAddr,
+    mode: Arc<watch::Sender<ProxyMode>>,
+) {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 let Ok((client, _)) = accepted else { continue };
-                connections.spawn(connect(client, target, mode.subscribe()));
+                connections.spawn(proxy_connection(client, target, mode.subscribe()));
             }
             Some(_) = connections.join_next() => {}
         }
     }
 }
 
-async fn connect(client: TcpStream, target: SocketAddr, mode: watch::Receiver<ProxyMode>) {
+async fn proxy_connection(client: TcpStream, target: SocketAddr, mode: watch::Receiver<ProxyMode>) {
     if *mode.borrow() == ProxyMode::Cut {
         return;
     }
@@ -93,42 +98,42 @@
     let _ = server.set_nodelay(true);
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
-    let opened_in = *mode.borrow();
-    let up = pass(
+    let mode_at_open = *mode.borrow();
+    let up = forward(
         client_read,
         server_write,
         mode.clone(),
-        opened_in,
+        mode_at_open,
         ProxyMode::BlackholeUp,
     );
-    let down = pass(
+    let down = forward(
         server_read,
         client_write,
         mode.clone(),
-        opened_in,
+        mode_at_open,
         ProxyMode::BlackholeDown,
     );
     tokio::select! {
         ((), ()) = async { tokio::join!(up, down) } => {}
-        () = cut(mode) => {}
+        () = wait_for_cut(mode) => {}
     }
 }
 
-async fn cut(mut mode: watch::Receiver<ProxyMode>) {
+async fn wait_for_cut(mut mode: watch::Receiver<ProxyMode>) {
     if mode.wait_for(|mode| *mode == ProxyMode::Cut).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     mut mode: watch::Receiver<ProxyMode>,
-    opened_in: ProxyMode,
+    mode_at_open: ProxyMode,
     blackhole: ProxyMode,
 ) {
     let mut buf = vec![0; 16 * 1024];
-    let mut lost = false;
+    let mut lost_bytes = false;
     while let Ok(count) = from.read(&mut buf).await {
         if count == 0 {
             break;
@@ -140,21 +145,22 @@
         {
             return;
         }
-        let now = *mode.borrow();
-        // Bytes behind lost ones must never pass: no TCP connection has a hole in it.
-        lost |= now == blackhole;
-        lost |= now == ProxyMode::BlackholeOpen && opened_in != ProxyMode::BlackholeOpen;
-        if lost {
+        let current = *mode.borrow();
+        // TCP delivers bytes in order without gaps, so nothing may be forwarded after a lost byte.
+        lost_bytes |= current == blackhole;
+        lost_bytes |=
+            current == ProxyMode::BlackholeOpen && mode_at_open != ProxyMode::BlackholeOpen;
+        if lost_bytes {
             continue;
         }
-        if let ProxyMode::Delay(by) = now {
-            tokio::time::sleep(by).await;
+        if let ProxyMode::Delay(delay) = current {
+            tokio::time::sleep(delay).await;
         }
         if to.write_all(&buf[..count]).await.is_err() {
             break;
         }
     }
-    if lost {
+    if lost_bytes {
         std::future::pending::<()>().await;
     }
     let _ = to.shutdown().await;
--- a/crates/jaypin_standin/tests/prefix_cache.rs
+++ b/crates/jaypin_standin/tests/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in's prefix cache: what is computed again, what is told of it.
+//! Tests of the engine's prefix cache: recomputed tokens, eviction and reported events.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use hyper_util::rt::TokioIo;
 use jaypin_standin::{CacheEvents, Engine, EngineConfig, ServiceBlocks};
 
-/// Characters of one block of the cache.
-const BLOCK: usize = 256;
+/// Number of bytes in one block of the cache.
+const BLOCK_BYTES: usize = 256;
 
-async fn call(engine: &Engine, method: Method, path: &str, body: String) -> Bytes {
+async fn send(engine: &Engine, method: Method, path: &str, body: String) -> Bytes {
     let stream = tokio::net::TcpStream::connect(engine.address)
         .await
         .expect("a connection");
@@ -25,7 +25,7 @@
         .header("host", "engine")
         .body(Full::new(Bytes::from(body)))
         .expect("a request");
-    let response = sender.send_request(req).await.expect("an answer");
+    let response = sender.send_request(req).await.expect("a response");
     response
         .into_body()
         .collect()
@@ -34,9 +34,9 @@
         .to_bytes()
 }
 
-async fn ask(engine: &Engine, text: &str) {
+async fn complete(engine: &Engine, text: &str) {
     let body = serde_json::json!({ "prompt": text, "max_tokens": 1 });
-    call(engine, Method::POST, "/v1/completions", body.to_string()).await;
+    send(engine, Method::POST, "/v1/completions", body.to_string()).await;
 }
 
 fn config() -> EngineConfig {
@@ -50,14 +50,14 @@
 }
 
 #[tokio::test]
-async fn what_another_engine_holds_counts_as_computed_again() {
+async fn tokens_cached_by_another_engine_count_as_recomputed() {
     let cfg = config();
     let first = Engine::start(cfg.clone()).await.expect("an engine");
     let second = Engine::start(cfg).await.expect("an engine");
-    let text = "a".repeat(2 * BLOCK);
-    ask(&first, &text).await;
-    ask(&first, &text).await;
-    ask(&second, &text).await;
+    let text = "a".repeat(2 * BLOCK_BYTES);
+    complete(&first, &text).await;
+    complete(&first, &text).await;
+    complete(&second, &text).await;
     let of_first = first.executions();
     assert_eq!((of_first[0].cached, of_first[0].recomputed), (0, 0));
     assert_eq!((of_first[1].cached, of_first[1].prefilled), (128, 0));
@@ -66,30 +66,34 @@
 }
 
 #[tokio::test]
-async fn the_block_used_longest_ago_is_evicted() {
+async fn the_least_recently_used_block_is_evicted() {
     let engine = Engine::start(config()).await.expect("an engine");
     for letter in ["a", "b", "c", "d", "a", "e"] {
-        ask(&engine, &letter.repeat(BLOCK)).await;
+        complete(&engine, &letter.repeat(BLOCK_BYTES)).await;
     }
-    ask(&engine, &"a".repeat(BLOCK)).await;
-    ask(&engine, &"b".repeat(BLOCK)).await;
-    let cached: Vec<u64> = engine.executions().iter().map(|one| one.cached).collect();
+    complete(&engine, &"a".repeat(BLOCK_BYTES)).await;
+    complete(&engine, &"b".repeat(BLOCK_BYTES)).await;
+    let cached: Vec<u64> = engine
+        .executions()
+        .iter()
+        .map(|execution| execution.cached)
+        .collect();
     assert_eq!(cached, [0, 0, 0, 0, 64, 0, 64, 0]);
 }
 
 #[tokio::test]
-async fn one_event_in_so_many_is_never_told() {
+async fn every_nth_event_is_lost() {
     let cfg = EngineConfig {
         cache_event_loss: Some(3),
         ..config()
     };
     let engine = Engine::start(cfg).await.expect("an engine");
     for letter in ["a", "b", "c", "d"] {
-        ask(&engine, &letter.repeat(BLOCK)).await;
+        complete(&engine, &letter.repeat(BLOCK_BYTES)).await;
     }
-    let told = call(&engine, Method::GET, "/cache-events?since=2", String::new()).await;
-    let told: CacheEvents = serde_json::from_slice(&told).expect("events");
-    let numbers: Vec<u64> = told.events.iter().map(|event| event.sequence).collect();
+    let response = send(&engine, Method::GET, "/cache-events?since=2", String::new()).await;
+    let response: CacheEvents = serde_json::from_slice(&response).expect("events");
+    let numbers: Vec<u64> = response.events.iter().map(|event| event.sequence).collect();
     assert_eq!(numbers, [2, 4]);
-    assert_eq!(told.next, 5);
+    assert_eq!(response.next, 5);
 }
--- a/crates/jaypin_standin/tests/proxy.rs
+++ b/crates/jaypin_standin/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The fault proxy makes faults that a TCP connection can have, and no others.
+//! Tests that the proxy only injects faults that can occur on a TCP connection.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Time in which a byte would have come through the loopback address.
-const SILENCE: Duration = Duration::from_millis(300);
+/// Time after which a byte that hasn't arrived over the loopback address counts as lost.
+const LOSS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A byte that is lost on its way may not be followed by a later one: a caller would take
-/// an answer with a hole for a whole one, which no TCP connection can bring about.
+/// Guards against a proxy that forwards bytes after it has dropped earlier ones: a client would
+/// accept a response with a gap as complete, which can't happen on a TCP connection.
 #[tokio::test]
-async fn nothing_follows_a_lost_byte() {
+async fn no_byte_arrives_after_a_lost_byte() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let target = listener.local_addr().expect("an address");
     let proxy = Proxy::start("127.0.0.1:0", target).await.expect("a proxy");
@@ -24,16 +24,16 @@
     client.read_exact(&mut byte).await.expect("the first byte");
     proxy.set(ProxyMode::BlackholeDown);
     server.write_all(b"b").await.expect("written");
-    let lost = timeout(SILENCE, client.read(&mut byte)).await;
+    let lost = timeout(LOSS_TIMEOUT, client.read(&mut byte)).await;
     assert!(lost.is_err(), "the second byte was not lost");
     proxy.set(ProxyMode::Pass);
     server.write_all(b"c").await.expect("written");
-    let late = timeout(SILENCE, client.read(&mut byte)).await;
-    assert!(late.is_err(), "a byte came behind a lost one");
+    let late = timeout(LOSS_TIMEOUT, client.read(&mut byte)).await;
+    assert!(late.is_err(), "a byte arrived after a lost one");
     client.write_all(b"d").await.expect("written");
     server
         .read_exact(&mut byte)
         .await
-        .expect("the other way passes");
+        .expect("bytes in the other direction arrive");
     assert_eq!(&byte, b"d");
 }
