--- a/crates/jaypin_standin/src/platform.rs
+++ b/crates/jaypin_standin/src/platform.rs
@@ -38,7 +38,7 @@
     Slow(Duration),
     /// Writes take effect, but their response is replaced by status 504.
     LoseWriteResponses,
-    /// Reads and watches return the version before the current one.
+    /// Reads and watches return the version before the current one, if there is one.
     StaleReads,
 }
 
