--- a/crates/jaypin_bench/src/client.rs
+++ b/crates/jaypin_bench/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller of jaypin, as the load tool and the tests use it.
+//! HTTP client of jaypin for the load generator and the tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,49 +15,49 @@
 
 type AnyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A caller with a credential.
+/// Client that calls one host and opens a new connection for each call.
 #[derive(Debug, Clone)]
 pub struct Client {
     /// Address of the host it calls.
     pub address: SocketAddr,
-    /// Its credential; none sends none.
+    /// Bearer credential; `None` sends no `Authorization` header.
     pub credential: Option<String>,
 }
 
-/// One event of a stream with the time since the call began.
+/// One event of a streamed response.
 #[derive(Debug, Clone)]
 pub struct Event {
-    /// Time since the call began.
+    /// Time from the start of the call to the arrival of the event.
     pub at: Duration,
-    /// Text of the token; empty for events without one.
+    /// Text of the token; empty for events without a token.
     pub text: String,
 }
 
-/// A whole answer.
+/// A response, read to its end.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Time to the head.
+    /// Time from the start of the call to the response head.
     pub head_after: Duration,
-    /// Time to the end.
+    /// Time from the start of the call to the end of the response.
     pub whole_after: Duration,
-    /// Body of an answer that is no stream.
+    /// Body; of a streamed response only the bytes after the last complete event.
     pub body: Bytes,
-    /// Events of a stream.
+    /// Events of a streamed response; empty otherwise.
     pub events: Vec<Event>,
-    /// Whether the stream ended with the protocol's end mark.
+    /// Whether the stream ended with the end marker `[DONE]`.
     pub done: bool,
     /// Body of the error event that ended the stream.
     pub error: Option<Value>,
-    /// Whether the connection broke before the end.
+    /// Whether the connection broke before the end of the response.
     pub broken: bool,
 }
 
 impl Answer {
-    /// The generated text, streamed or not.
+    /// Returns the generated text, streamed or not.
     #[must_use]
     pub fn text(&self) -> String {
         if !self.events.is_empty() {
@@ -72,14 +72,14 @@
         content.as_str().unwrap_or_default().to_owned()
     }
 
-    /// The body as JSON.
+    /// Returns the body as JSON, or `null` if it is not JSON.
     #[must_use]
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 }
 
-/// Body of a chat completion request.
+/// Builds the body of a chat completion request with one user message.
 #[must_use]
 pub fn completion_body(model: &str, text: &str, max_tokens: u64, stream: bool) -> Value {
     serde_json::json!({
@@ -91,7 +91,7 @@
 }
 
 impl Client {
-    /// Builds a caller.
+    /// Creates a client with a credential.
     #[must_use]
     pub fn new(address: SocketAddr, credential: &str) -> Self {
         Self {
@@ -100,10 +100,10 @@
         }
     }
 
-    /// Calls for a completion and reads the answer to its end.
+    /// Requests a chat completion and reads the response to its end.
     ///
     /// # Errors
-    /// When no head of an answer came.
+    /// Returns an error if no response head was received.
     pub async fn complete(
         &self,
         body: &Value,
@@ -114,10 +114,10 @@
             .await
     }
 
-    /// Makes any call and reads the answer to its end.
+    /// Sends a request and reads the response to its end.
     ///
     /// # Errors
-    /// When no head of an answer came.
+    /// Returns an error if no response head was received.
     pub async fn call(
         &self,
         method: Method,
@@ -130,7 +130,7 @@
         stream.set_nodelay(true)?;
         let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
         let driver = tokio::spawn(connection);
-        let req = self.request(method, path, headers, body)?;
+        let req = self.build_request(method, path, headers, body)?;
         let response = sender.send_request(req).await?;
         let (head, mut body) = response.into_parts();
         let mut answer = Answer {
@@ -159,7 +159,7 @@
             };
             buf.extend_from_slice(&bytes);
             if is_stream {
-                take_events(&mut buf, start.elapsed(), &mut answer);
+                parse_events(&mut buf, start.elapsed(), &mut answer);
             }
         }
         answer.whole_after = start.elapsed();
@@ -168,7 +168,7 @@
         Ok(answer)
     }
 
-    fn request(
+    fn build_request(
         &self,
         method: Method,
         path: &str,
@@ -190,8 +190,8 @@
     }
 }
 
-/// Takes whole events off the front of the buffer.
-fn take_events(buf: &mut Vec<u8>, at: Duration, answer: &mut Answer) {
+/// Moves the complete events at the front of the buffer into the answer.
+fn parse_events(buf: &mut Vec<u8>, at: Duration, answer: &mut Answer) {
     while let Some(end) = buf.windows(2).position(|pair| pair == b"\n\n") {
         let event: Vec<u8> = buf.drain(..end + 2).collect();
         let text = String::from_utf8_lossy(&event);
--- a/crates/jaypin_bench/src/fleet.rs
+++ b/crates/jaypin_bench/src/fleet.rs
@@ -1,4 +1,6 @@
-//! Real host processes before stand-ins that run inside this process.
+//! Runs real host processes against stand-ins of the platform and of the backend servers.
+//!
+//! The stand-ins run inside this process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,31 +12,32 @@
 
 type AnyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The rule file that fleets run by default.
+/// Rule file that fleets use by default.
 pub const RULES: &str = include_str!("../../../examples/lanyang-rules.yaml");
-/// Accounts of that rule file; the credential is the account with `-secret` behind it.
+/// Client accounts of [`RULES`]; the credential of each is its name followed by `-secret`.
 pub const ACCOUNTS: [&str; 3] = ["farm-yilan", "farm-luodong", "farm-jiaoxi"];
-/// Address that stands for a free port of the loopback address.
+/// Listen address that makes the system choose a free loopback port.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// What a fleet is made of.
+/// Size and settings of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetConfig {
-    /// Entry hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Engines of the service `chat`.
+    /// Configuration of each engine of the service `chat`.
     pub engines: Vec<EngineConfig>,
-    /// Application workers of the plain service.
+    /// Number of application workers of the plain service.
     pub apps: usize,
-    /// Name of the plain service.
+    /// Name of the plain service, whose calls are not completions.
     pub plain_service: String,
-    /// Whether a fault proxy stands before the platform, each link and each backend server.
+    /// Whether connections to the platform, to each host's link listener and to each backend
+    /// server pass through a fault proxy.
     pub proxied: bool,
-    /// The rule file.
+    /// Text of the rule file.
     pub rules: String,
-    /// Further lines of every host's settings.
+    /// YAML lines that are appended to every host's settings.
     pub settings: String,
-    /// Filter of the hosts' logs, in the form of `RUST_LOG`.
+    /// Log filter of the hosts, in the syntax of `RUST_LOG`.
     pub log: String,
 }
 
@@ -53,55 +56,56 @@
     }
 }
 
-/// One backend server, as the host list names it.
+/// Entry of a backend server in the host list.
 #[derive(Debug, Clone)]
 pub struct BackendSpec {
-    /// Name.
+    /// Name in the host list, such as `engine-0`.
     pub id: String,
-    /// Where hosts reach it.
+    /// Address that hosts connect to; that of the fault proxy if there is one.
     pub address: SocketAddr,
-    /// Its service.
+    /// Name of the service that it belongs to.
     pub service: String,
-    /// Whether it is leaving.
+    /// Whether the host list marks it as leaving.
     pub leaving: bool,
-    /// Requests it can run at once.
+    /// Number of requests that it can run at once.
     pub slots: usize,
 }
 
-/// Fault proxies of a fleet; empty where it has none.
+/// Fault proxies of a fleet; empty unless [`FleetConfig::proxied`] is set.
 #[derive(Debug, Default)]
 pub struct Proxies {
-    /// Before the platform.
+    /// Proxy of the platform.
     pub platform: Option<Proxy>,
-    /// Before the links of each host, in their order.
+    /// Proxy of each host's link listener, in the order of [`Fleet::hosts`].
     pub links: Vec<Proxy>,
-    /// Before each backend server, in their order.
+    /// Proxy of each backend server, in the order of [`Fleet::backends`].
     pub backends: Vec<Proxy>,
 }
 
-/// A running fleet; dropping it ends its hosts.
+/// A running fleet; dropping it kills its hosts and deletes their settings.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The platform.
+    /// Stand-in of the platform.
     pub platform: Platform,
-    /// Engines.
+    /// Stand-ins of the engines.
     pub engines: Vec<Engine>,
-    /// Application workers.
+    /// Stand-ins of the application workers.
     pub apps: Vec<App>,
-    /// Entry hosts.
+    /// Host processes.
     pub hosts: Vec<Host>,
-    /// Backend servers as the host list names them.
+    /// Entries of the backend servers in the host list: the engines, then the workers.
     pub backends: Vec<BackendSpec>,
-    /// Fault proxies, where the fleet has them.
+    /// Fault proxies.
     pub proxies: Proxies,
     directory: PathBuf,
 }
 
 impl Fleet {
-    /// Starts stand-ins and hosts, and waits until every host is ready.
+    /// Starts the stand-ins and the hosts, and waits until every host is ready.
     ///
     /// # Errors
-    /// When something can't be started or does not become ready.
+    /// Returns an error if a stand-in or a host can't be started or a host does not become
+    /// ready.
     pub async fn start(cfg: FleetConfig) -> Result<Self, AnyError> {
         let mut fleet = Self::prepare(cfg).await?;
         for host in &mut fleet.hosts {
@@ -111,10 +115,10 @@
         Ok(fleet)
     }
 
-    /// Starts stand-ins and writes settings; hosts are not started.
+    /// Starts the stand-ins and writes the hosts' settings without starting the hosts.
     ///
     /// # Errors
-    /// When something can't be started.
+    /// Returns an error if a stand-in can't be started or a file can't be written.
     pub async fn prepare(cfg: FleetConfig) -> Result<Self, AnyError> {
         let platform = Platform::start(ANY_PORT).await?;
         let mut engines = Vec::new();
@@ -123,7 +127,7 @@
         for (index, engine) in cfg.engines.into_iter().enumerate() {
             let slots = engine.slots;
             let engine = Engine::start(engine).await?;
-            backends.push(backend(
+            backends.push(backend_spec(
                 format!("engine-{index}"),
                 engine.address,
                 "chat",
@@ -134,7 +138,7 @@
         for index in 0..cfg.apps {
             let app = App::start(AppConfig::default()).await?;
             let id = format!("app-{index}");
-            backends.push(backend(id, app.address, &cfg.plain_service, 16));
+            backends.push(backend_spec(id, app.address, &cfg.plain_service, 16));
             apps.push(app);
         }
         let mut proxies = Proxies::default();
@@ -149,7 +153,7 @@
                 proxies.backends.push(proxy);
             }
         }
-        let directory = scratch_directory()?;
+        let directory = create_scratch_directory()?;
         let mut hosts = Vec::new();
         for index in 0..cfg.hosts {
             hosts.push(Host::prepare(
@@ -181,7 +185,7 @@
         Ok(fleet)
     }
 
-    /// Writes the host list, without killed hosts, to the platform.
+    /// Writes the host list to the platform; hosts that are killed are left out.
     pub fn publish_hosts(&self) {
         let hosts: Vec<Value> = self
             .hosts
@@ -215,17 +219,18 @@
         self.platform.put("hosts", list.to_string());
     }
 
-    /// Writes a rule file to the platform without an operator; gives its version.
-    #[expect(clippy::must_use_candidate, reason = "called for what it does")]
+    /// Writes a rule file directly to the platform, bypassing the operators' interface, and
+    /// returns its version.
+    #[expect(clippy::must_use_candidate, reason = "called for its side effect")]
     pub fn publish_rules(&self, text: &str) -> u64 {
         let object = json!({ "text": text, "changes": [] });
         self.platform.put("rules", object.to_string())
     }
 
-    /// Waits until every running host says that it is ready.
+    /// Waits until every running host reports that it is ready.
     ///
     /// # Errors
-    /// When one is not in time.
+    /// Returns an error if a host does not become ready in time.
     pub async fn wait_ready(&self) -> Result<(), AnyError> {
         for host in self.hosts.iter().filter(|host| host.pid().is_some()) {
             host.wait_ready().await?;
@@ -243,7 +248,7 @@
     }
 }
 
-fn backend(id: String, address: SocketAddr, service: &str, slots: usize) -> BackendSpec {
+fn backend_spec(id: String, address: SocketAddr, service: &str, slots: usize) -> BackendSpec {
     BackendSpec {
         id,
         address,
@@ -253,7 +258,7 @@
     }
 }
 
-fn scratch_directory() -> Result<PathBuf, AnyError> {
+fn create_scratch_directory() -> Result<PathBuf, AnyError> {
     let name = format!("jaypin-{}-{:x}", std::process::id(), rand::random::<u64>());
     let path = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&path)?;
--- a/crates/jaypin_bench/src/host.rs
+++ b/crates/jaypin_bench/src/host.rs
@@ -1,4 +1,4 @@
-//! One host: a real process, its settings, its pages, signals to it.
+//! A host process: writes its settings, starts and signals it, and reads its operator pages.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -11,39 +11,39 @@
 
 type AnyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Ports of every host: for callers, peers and operators.
+/// Ports of every host, in this order: for callers, peers and operators.
 const PORTS: [u16; 3] = [7_101, 7_102, 7_103];
-/// Longest wait for a host to become ready.
+/// Time limit for a host to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between two looks at a host.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Interval at which a host's state is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// One host process.
 #[derive(Debug)]
 pub struct Host {
-    /// Name.
+    /// Name in the host list, such as `host-0`.
     pub id: String,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub address: SocketAddr,
-    /// Where peers connect.
+    /// Address that peers connect to; that of the fault proxy if there is one.
     pub link: SocketAddr,
-    /// Where operators connect.
+    /// Address that operators connect to.
     pub operator: SocketAddr,
-    /// Failure domain.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// Whether the host list says that it is leaving.
+    /// Whether the host list marks it as leaving.
     pub leaving: bool,
     settings: PathBuf,
     log: String,
     child: Option<Child>,
-    /// Whether it was killed and not started again.
+    /// Whether it was killed and has not been restarted.
     pub(crate) killed: bool,
 }
 
-/// Finds a program of this workspace beside the running one.
+/// Returns the path of a program of this workspace in the build directory of the running one.
 ///
 /// # Errors
-/// When it was not built.
+/// Returns an error if the program was not built.
 pub fn binary(name: &str) -> Result<PathBuf, AnyError> {
     let own = std::env::current_exe()?;
     let mut directory = own.parent().map(Path::to_path_buf).unwrap_or_default();
@@ -62,11 +62,11 @@
     }
 }
 
-/// Address of a host, and after it its ports for callers, peers and operators.
+/// Chooses the loopback address of a host.
 ///
-/// Each host has a loopback address of its own, and its ports are below the range that
-/// the system hands out, so no other program takes them between choice and use.
-fn host_address() -> Ipv4Addr {
+/// Each host has its own loopback address, and [`PORTS`] are below the ephemeral port range
+/// of the system, so no other program can bind them before the host does.
+fn choose_address() -> Ipv4Addr {
     static COUNT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -84,7 +84,7 @@
     ) -> Result<Self, AnyError> {
         let id = format!("host-{index}");
         let failure_domain = format!("domain-{}", index % 3);
-        let ip = host_address();
+        let ip = choose_address();
         let [address, link, operator] = PORTS.map(|port| SocketAddr::from((ip, port)));
         let settings = directory.join(format!("{id}.yaml"));
         let text = format!(
@@ -107,10 +107,10 @@
         })
     }
 
-    /// Changes the settings that the next start reads.
+    /// Edits the settings file, which is read at the next start.
     ///
     /// # Errors
-    /// When the file can't be read or written.
+    /// Returns an error if the file can't be read or written.
     pub fn edit_settings(&self, edit: impl FnOnce(String) -> String) -> Result<(), AnyError> {
         let text = std::fs::read_to_string(&self.settings)?;
         std::fs::write(&self.settings, edit(text))?;
@@ -120,7 +120,7 @@
     /// Starts the process; its log goes to this process's standard error.
     ///
     /// # Errors
-    /// When the program can't be started.
+    /// Returns an error if the program was not built or can't be started.
     pub fn start(&mut self) -> Result<(), AnyError> {
         let child = Command::new(binary("jaypin")?)
             .args(["serve", "--settings"])
@@ -133,13 +133,13 @@
         Ok(())
     }
 
-    /// Id of the process.
+    /// Returns the process id, or `None` while the host is not running.
     #[must_use]
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Sends a signal by its name, for example `STOP`.
+    /// Sends a signal to the process, by its name without `SIG`, such as `STOP`.
     pub fn signal(&self, name: &str) {
         if let Some(pid) = self.pid() {
             let _ = Command::new("kill")
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -157,7 +157,8 @@
         }
     }
 
-    /// Waits for the process to end by itself; gives whether it ended well.
+    /// Waits for the process to exit by itself and returns whether it succeeded, or `None` if
+    /// it is not running or does not exit in time.
     pub async fn wait_exit(&mut self, within: Duration) -> Option<bool> {
         let deadline = Instant::now() + within;
         while Instant::now() < deadline {
@@ -166,17 +167,19 @@
                 self.child = None;
                 return Some(status.success());
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
         None
     }
 
-    /// Reads a page of the operators' listener; gives nothing when it does not answer.
+    /// Reads a JSON page of the host's operator listener and returns its status code and body.
+    ///
+    /// Returns `None` if the host does not answer within 2 s or the body is not JSON.
     pub async fn page(&self, path: &str) -> Option<(u16, Value)> {
         Self::page_at(self.operator, path).await
     }
 
-    /// Reads a page of the operators' listener at an address.
+    /// Reads a JSON page of the operator listener at an address, like [`Host::page`].
     pub async fn page_at(operator: SocketAddr, path: &str) -> Option<(u16, Value)> {
         let url = format!("http://{operator}{path}");
         tokio::task::spawn_blocking(move || {
@@ -189,10 +192,10 @@
         .ok()?
     }
 
-    /// Waits until the host says that it is ready.
+    /// Waits until the host reports that it is ready.
     ///
     /// # Errors
-    /// When it is not in time.
+    /// Returns an error if that takes longer than 20 s.
     pub async fn wait_ready(&self) -> Result<(), AnyError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         while Instant::now() < deadline {
@@ -203,7 +206,7 @@
             {
                 return Ok(());
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
         Err(format!("{} is not ready", self.id).into())
     }
--- a/crates/jaypin_bench/src/lib.rs
+++ b/crates/jaypin_bench/src/lib.rs
@@ -1,6 +1,7 @@
-//! Load tool, experiments and history checker of jaypin; never shipped.
+//! Load generator, experiments and history checker for jaypin; never shipped.
 //!
-//! [`Fleet`] runs real host processes before stand-ins, on the loopback address.
+//! [`Fleet`] runs real host processes against stand-ins of the platform and of the backend
+//! servers, all on loopback addresses.
 
 mod client;
 mod command;
