--- a/crates/jaypin_bench/src/torture/mod.rs
+++ b/crates/jaypin_bench/src/torture/mod.rs
@@ -1,7 +1,7 @@
-//! Randomised, seeded runs under faults, judged by the history checker.
+//! Randomized, seeded runs under injected faults, judged by the history checker.
 //!
-//! The seed fixes which faults come in which order and what callers ask; how processes
-//! interleave is the machine's.
+//! The seed determines the faults, their order and the requests of the callers; the
+//! interleaving of the processes is not deterministic.
 
 mod callers;
 mod faults;
--- a/crates/jaypin_bench/src/torture/runner.rs
+++ b/crates/jaypin_bench/src/torture/runner.rs
@@ -1,4 +1,4 @@
-//! One run under faults: callers, a schedule, a history, a verdict.
+//! Runs callers against a fleet under scheduled faults and checks the recorded history.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -20,27 +20,27 @@
 
 type AnyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Longest time for callers to end after the last fault was undone.
-const END_TIMEOUT: Duration = Duration::from_secs(90);
-/// Violations that a table shows.
-const SHOWN: usize = 20;
+/// Time limit for the callers to stop after the last fault is undone.
+const STOP_TIMEOUT: Duration = Duration::from_secs(90);
+/// Maximum number of violations that the table shows.
+const MAX_SHOWN_VIOLATIONS: usize = 20;
 
-/// What a run is like.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct TortureConfig {
-    /// Seed of faults and callers.
+    /// Seed of the faults and of the callers' requests.
     pub seed: u64,
-    /// How long faults come.
+    /// Period during which faults are injected.
     pub length: Duration,
-    /// Entry hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Application workers.
+    /// Number of application workers.
     pub apps: usize,
-    /// Callers, each with one request at a time.
+    /// Number of callers; each makes one call at a time.
     pub callers: usize,
-    /// Filter of the hosts' logs.
+    /// Log filter of the hosts, in the syntax of `RUST_LOG`.
     pub log: String,
 }
 
@@ -58,34 +58,35 @@
     }
 }
 
-/// What a run gave.
+/// Results of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct TortureReport {
-    /// Seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Entry hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// How long faults came.
+    /// Period during which faults were injected.
     pub length: Duration,
-    /// Faults made, by name.
+    /// Number of injected faults, by kind.
     pub faults: BTreeMap<String, usize>,
-    /// Calls by what their callers got.
+    /// Number of calls, by the answer that the caller received.
     pub answers: BTreeMap<String, usize>,
-    /// What the checker found.
+    /// Result of the history check.
     pub check: CheckOutcome,
-    /// Hosts that did not leave by themselves or did not become ready.
+    /// Messages about hosts that did not exit by themselves when asked to leave, could not be
+    /// started or did not become ready.
     pub troubles: Vec<String>,
-    /// What was checked.
+    /// History that was checked.
     #[serde(skip)]
     pub history: History,
 }
 
-/// Makes a run.
+/// Starts a fleet, runs callers under the faults of the seed and checks the history.
 ///
 /// # Errors
-/// When the fleet does not start or callers do not end.
+/// Returns an error if the fleet does not start or the callers do not stop in time.
 pub async fn torture(cfg: &TortureConfig) -> Result<TortureReport, AnyError> {
-    let fleet = start(cfg).await?;
+    let fleet = start_fleet(cfg).await?;
     let addresses = fleet
         .hosts
         .iter()
@@ -107,15 +108,15 @@
         ));
     }
     let mut faults = Faults::new(fleet);
-    strike(&mut faults, cfg).await;
+    inject_faults(&mut faults, cfg).await;
     faults.undo_all().await;
     stop.send_replace(true);
-    let calls = timeout(END_TIMEOUT, callers.join_all()).await?.concat();
+    let calls = timeout(STOP_TIMEOUT, callers.join_all()).await?.concat();
     watchers.abort_all();
     let rules = std::mem::take(&mut *lock(&rules_log));
     let history = History {
         calls,
-        executions: executions(faults.fleet()),
+        executions: collect_executions(faults.fleet()),
         rules,
         leaving: std::mem::take(&mut faults.leaving),
         shutdowns: std::mem::take(&mut faults.shutdowns),
@@ -125,7 +126,7 @@
         hosts: cfg.hosts,
         length: cfg.length,
         faults: faults.counts.clone(),
-        answers: answers(&history.calls),
+        answers: count_answers(&history.calls),
         check: check(&history),
         troubles: faults.troubles.clone(),
         history,
@@ -138,7 +139,7 @@
 
 type LockedRules<'a> = std::sync::MutexGuard<'a, Vec<crate::history::RulesRecord>>;
 
-async fn start(cfg: &TortureConfig) -> Result<Fleet, AnyError> {
+async fn start_fleet(cfg: &TortureConfig) -> Result<Fleet, AnyError> {
     let engine = EngineConfig {
         gap: Duration::from_millis(10),
         crash_for: Some(Duration::from_millis(500)),
@@ -155,10 +156,10 @@
     .await
 }
 
-/// Makes each fault at its time and undoes it at the end of its time.
-async fn strike(faults: &mut Faults, cfg: &TortureConfig) {
+/// Injects each scheduled fault at its time and undoes it after its duration.
+async fn inject_faults(faults: &mut Faults, cfg: &TortureConfig) {
     let start = Instant::now();
-    let mut told = start;
+    let mut last_progress = start;
     for planned in schedule(cfg.seed, cfg.length) {
         let at = start + planned.at;
         while let Some(due) = faults.next_due().filter(|due| *due < at) {
@@ -166,16 +167,16 @@
             faults.undo_due().await;
         }
         sleep_until(at).await;
-        faults.make(planned).await;
-        if told.elapsed() > Duration::from_secs(10) {
-            told = Instant::now();
-            let made: usize = faults.counts.values().sum();
-            eprintln!("  {:.0?}: {made} faults made", start.elapsed());
+        faults.inject(planned).await;
+        if last_progress.elapsed() > Duration::from_secs(10) {
+            last_progress = Instant::now();
+            let injected: usize = faults.counts.values().sum();
+            eprintln!("  {:.0?}: {injected} faults made", start.elapsed());
         }
     }
 }
 
-fn executions(fleet: &Fleet) -> Vec<ExecutionRecord> {
+fn collect_executions(fleet: &Fleet) -> Vec<ExecutionRecord> {
     let mut records = Vec::new();
     for (engine, spec) in fleet.engines.iter().zip(&fleet.backends) {
         let done = engine.executions();
@@ -201,10 +202,10 @@
     records
 }
 
-fn answers(calls: &[CallRecord]) -> BTreeMap<String, usize> {
+fn count_answers(calls: &[CallRecord]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for call in calls {
-        let word = match &call.answered {
+        let kind = match &call.answered {
             Answered::Whole { .. } => "whole".to_owned(),
             Answered::Refused {
                 reason, outcome, ..
@@ -213,13 +214,13 @@
             Answered::QuietEnd { .. } => "quiet end".to_owned(),
             Answered::Nothing => "nothing".to_owned(),
         };
-        *counts.entry(word).or_default() += 1;
+        *counts.entry(kind).or_default() += 1;
     }
     counts
 }
 
 impl TortureReport {
-    /// The counts and the verdict.
+    /// Formats the counts, the troubles, the first violations and the verdict.
     #[must_use]
     pub fn table(&self) -> String {
         let mut out = String::new();
@@ -243,7 +244,7 @@
         for violation in &check.violations {
             *by_promise.entry(violation.promise).or_default() += 1;
         }
-        for violation in check.violations.iter().take(SHOWN) {
+        for violation in check.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
             let _ = writeln!(out, "{:?}: {}", violation.promise, violation.detail);
         }
         let _ = match check.violations.len() {
--- a/crates/jaypin_bench/src/torture/watch_rules.rs
+++ b/crates/jaypin_bench/src/torture/watch_rules.rs
@@ -1,4 +1,4 @@
-//! Asks hosts, again and again, which rule version is in force.
+//! Polls the hosts for the rule version that is in force.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -9,16 +9,18 @@
 use crate::Host;
 use crate::history::RulesRecord;
 
-/// Pause between two questions to a host.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Interval at which a host is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Records that grow while hosts are asked.
+/// Rule versions that the hosts reported, shared by the polling tasks.
 pub type RulesLog = Arc<Mutex<Vec<RulesRecord>>>;
 
-/// Asks one host until the task is aborted; one question at a time keeps the order.
+/// Polls one host until the task is aborted.
+///
+/// Only one request is open at a time, so that the records of a host stay in order.
 pub async fn watch_rules(host: String, operator: std::net::SocketAddr, log: RulesLog) {
     loop {
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
         let Some((_, status)) = Host::page_at(operator, "/status").await else {
             continue;
         };
