--- a/crates/jaypin_bench/examples/members.rs
+++ b/crates/jaypin_bench/examples/members.rs
@@ -1,11 +1,12 @@
-//! Measures what membership does and costs, with real host processes.
+//! Measures the failover times and the control traffic of a fleet of real host processes.
 //!
-//! - `recovery HOSTS TIMES kill|freeze`: from the end of a shard's leader to the next
-//!   first token of a request that came after it.
-//! - `rules HOSTS TIMES`: from an accepted write until every host has it in force.
-//! - `calls HOSTS SECONDS`: calls to the platform a second, with nothing going on.
-//! - `control HOSTS SECONDS REQUESTS`: bytes and messages on links, a host and second,
-//!   idle and under so many requests a second.
+//! - `recovery HOSTS TIMES kill|freeze`: time from the failure of a shard's leader to the
+//!   first token of any request that was sent after the failure.
+//! - `rules HOSTS TIMES`: time from an accepted write of the rules until they are in force on
+//!   every host.
+//! - `calls HOSTS SECONDS`: calls to the platform per second while the fleet is idle.
+//! - `control HOSTS SECONDS REQUESTS`: bytes, messages and frames on links per host and
+//!   second, idle and under `REQUESTS` requests per second.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,8 +26,8 @@
        members control HOSTS SECONDS REQUESTS";
 /// Pause between two requests while a shard has no leader.
 const REQUEST_PAUSE: Duration = Duration::from_millis(5);
-/// Longest wait for anything.
-const GIVE_UP: Duration = Duration::from_secs(30);
+/// Time limit for each condition that a measurement waits for.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[tokio::main]
 async fn main() -> Result<(), AnyError> {
@@ -45,9 +46,7 @@
     }
 }
 
-// ---------------------------------------------------------------------- fleet
-
-async fn fleet(hosts: usize, engines: usize) -> Result<Fleet, AnyError> {
+async fn start_fleet(hosts: usize, engines: usize) -> Result<Fleet, AnyError> {
     let engine = EngineConfig {
         slots: 64,
         gap: Duration::from_millis(5),
@@ -61,17 +60,17 @@
         ..FleetConfig::default()
     };
     let fleet = Fleet::start(cfg).await?;
-    settle(&fleet).await?;
+    wait_all_alive(&fleet).await?;
     Ok(fleet)
 }
 
-/// Waits until every host sees every host alive.
-async fn settle(fleet: &Fleet) -> Result<(), AnyError> {
+/// Waits until every host regards every host as alive.
+async fn wait_all_alive(fleet: &Fleet) -> Result<(), AnyError> {
     let start = Instant::now();
     for host in &fleet.hosts {
-        while alive_for(host).await != fleet.hosts.len() {
-            if start.elapsed() > GIVE_UP {
-                return Err(format!("{} does not see all hosts alive", host.id).into());
+        while count_alive(host).await != fleet.hosts.len() {
+            if start.elapsed() > WAIT_TIMEOUT {
+                return Err(format!("{} does not regard all hosts as alive", host.id).into());
             }
             sleep(Duration::from_millis(20)).await;
         }
@@ -79,23 +78,22 @@
     Ok(())
 }
 
-async fn alive_for(host: &Host) -> usize {
+async fn count_alive(host: &Host) -> usize {
     let page = host.page("/members").await;
     let members = page.and_then(|(_, body)| body.as_array().cloned());
     let alive = |member: &&Value| member["status"] == "alive";
     members.unwrap_or_default().iter().filter(alive).count()
 }
 
-async fn number(host: &Host, page: &str, name: &str) -> u64 {
+/// Returns a number from an operator page of a host, or 0 if it can't be read.
+async fn page_number(host: &Host, page: &str, name: &str) -> u64 {
     let page = host.page(page).await;
     page.and_then(|(_, body)| body[name].as_u64())
         .unwrap_or_default()
 }
 
-// ---------------------------------------------------------------------- recovery
-
 async fn recovery(hosts: usize, times: usize, freeze: bool) -> Result<(), AnyError> {
-    let mut fleet = fleet(hosts, 2).await?;
+    let mut fleet = start_fleet(hosts, 2).await?;
     let mut took = Vec::new();
     for _ in 0..times {
         let leader = leader(&fleet).await?;
@@ -106,20 +104,20 @@
             .filter(|(index, _)| *index != leader)
             .map(|(index, host)| caller(host, index))
             .collect();
-        let end = Instant::now();
+        let failed_at = Instant::now();
         if freeze {
             fleet.hosts[leader].signal("STOP");
         } else {
             fleet.hosts[leader].kill();
         }
-        took.push(first_token(&callers, end).await?);
+        took.push(first_token(&callers, failed_at).await?);
         if freeze {
             fleet.hosts[leader].signal("CONT");
         } else {
             fleet.hosts[leader].start()?;
             fleet.hosts[leader].wait_ready().await?;
         }
-        settle(&fleet).await?;
+        wait_all_alive(&fleet).await?;
     }
     let how = if freeze { "freeze" } else { "kill" };
     println!(
@@ -129,13 +127,13 @@
     Ok(())
 }
 
-/// The one host that leads the shard, once all agree.
+/// Waits until exactly one host reports that it leads the shard, and returns its index.
 async fn leader(fleet: &Fleet) -> Result<usize, AnyError> {
     let start = Instant::now();
-    while start.elapsed() < GIVE_UP {
+    while start.elapsed() < WAIT_TIMEOUT {
         let mut leaders = Vec::new();
         for (index, host) in fleet.hosts.iter().enumerate() {
-            if number(host, "/status", "shards_led").await > 0 {
+            if page_number(host, "/status", "shards_led").await > 0 {
                 leaders.push(index);
             }
         }
@@ -144,7 +142,7 @@
         }
         sleep(Duration::from_millis(20)).await;
     }
-    Err("no host leads the shard".into())
+    Err(format!("no single host led the shard within {WAIT_TIMEOUT:?}").into())
 }
 
 fn caller(host: &Host, index: usize) -> Client {
@@ -152,8 +150,8 @@
     Client::new(host.address, &format!("{account}-secret"))
 }
 
-/// Time from `end` to the first token of any request that was sent after it.
-async fn first_token(callers: &[Client], end: Instant) -> Result<Duration, AnyError> {
+/// Sends requests and returns the time from `failed_at` to the first token of any of them.
+async fn first_token(callers: &[Client], failed_at: Instant) -> Result<Duration, AnyError> {
     let (tx, mut rx) = mpsc::channel(1);
     let mut requests = JoinSet::new();
     let mut pause = interval(REQUEST_PAUSE);
@@ -165,7 +163,7 @@
                 let Some(client) = next.next().cloned() else { continue };
                 let tx = tx.clone();
                 requests.spawn(async move {
-                    let sent = end.elapsed();
+                    let sent = failed_at.elapsed();
                     let body = completion_body("cow-small", "how is she", 2, true);
                     let Ok(answer) = client.complete(&body, &[]).await else { return };
                     if let Some(event) = answer.events.first() {
@@ -174,8 +172,8 @@
                 });
             }
         }
-        if end.elapsed() > GIVE_UP {
-            return Err("no request was served".into());
+        if failed_at.elapsed() > WAIT_TIMEOUT {
+            return Err(format!("no request was served within {WAIT_TIMEOUT:?}").into());
         }
     }
 }
@@ -193,48 +191,50 @@
     )
 }
 
-// ---------------------------------------------------------------------- rules
-
 async fn rules(hosts: usize, times: usize) -> Result<(), AnyError> {
-    let mut fleet = fleet(hosts, 1).await?;
-    let mut plain = Vec::new();
+    let mut fleet = start_fleet(hosts, 1).await?;
+    let mut activation_times = Vec::new();
     for _ in 0..times {
-        plain.push(in_force(&mut fleet).await?);
+        activation_times.push(measure_activation(&mut fleet).await?);
     }
     println!(
         "{}",
-        summary(&format!("rules in force, {hosts} hosts"), plain)
+        summary(&format!("rules in force, {hosts} hosts"), activation_times)
     );
 
     fleet.platform.set_fault(Fault::StaleReads);
-    let stale = timeout(Duration::from_secs(2), in_force(&mut fleet)).await;
+    let stale = timeout(Duration::from_secs(2), measure_activation(&mut fleet)).await;
     println!(
         "  platform answers the version before: in force in 2 s: {}",
         stale.is_ok()
     );
     fleet.platform.set_fault(Fault::None);
-    println!("  after stale reads: {:.0?}", in_force(&mut fleet).await?);
+    println!(
+        "  after stale reads: {:.0?}",
+        measure_activation(&mut fleet).await?
+    );
 
     let last = hosts - 1;
     fleet.hosts[last].kill();
     fleet.hosts[last].start()?;
-    let with_restart = in_force(&mut fleet).await?;
+    let with_restart = measure_activation(&mut fleet).await?;
     println!("  written while a host starts again: {with_restart:.0?}");
 
     fleet.platform.set_fault(Fault::Out);
     let version = fleet.publish_rules(RULES);
     sleep(Duration::from_secs(3)).await;
-    let end = Instant::now();
+    let recovered_at = Instant::now();
     fleet.platform.set_fault(Fault::None);
     wait_in_force(&fleet, version).await?;
     println!(
         "  after an outage of 3 s, from its end: {:.0?}",
-        end.elapsed()
+        recovered_at.elapsed()
     );
     Ok(())
 }
 
-async fn in_force(fleet: &mut Fleet) -> Result<Duration, AnyError> {
+/// Writes the rules and returns the time until every host has them in force.
+async fn measure_activation(fleet: &mut Fleet) -> Result<Duration, AnyError> {
     let start = Instant::now();
     let version = fleet.publish_rules(RULES);
     wait_in_force(fleet, version).await?;
@@ -244,9 +244,9 @@
 async fn wait_in_force(fleet: &Fleet, version: u64) -> Result<(), AnyError> {
     let start = Instant::now();
     for host in &fleet.hosts {
-        while number(host, "/status", "rules_version").await < version {
-            if start.elapsed() > GIVE_UP {
-                return Err(format!("{} does not have version {version}", host.id).into());
+        while page_number(host, "/status", "rules_version").await < version {
+            if start.elapsed() > WAIT_TIMEOUT {
+                return Err(format!("{} did not load rule version {version}", host.id).into());
             }
             sleep(Duration::from_millis(5)).await;
         }
@@ -254,10 +254,8 @@
     Ok(())
 }
 
-// ---------------------------------------------------------------------- platform calls
-
 async fn calls(hosts: usize, seconds: u64) -> Result<(), AnyError> {
-    let fleet = fleet(hosts, 1).await?;
+    let fleet = start_fleet(hosts, 1).await?;
     sleep(Duration::from_secs(6)).await;
     let before = fleet.platform.calls();
     sleep(Duration::from_secs(seconds)).await;
@@ -275,8 +273,6 @@
     Ok(())
 }
 
-// ---------------------------------------------------------------------- control
-
 const COUNTS: [&str; 4] = [
     "bytes_sent",
     "bytes_received",
@@ -285,7 +281,7 @@
 ];
 
 async fn control(hosts: usize, seconds: u64, requests: u32) -> Result<(), AnyError> {
-    let fleet = Arc::new(fleet(hosts, 4).await?);
+    let fleet = Arc::new(start_fleet(hosts, 4).await?);
     sleep(Duration::from_secs(12)).await;
     let idle = rates(&fleet, seconds, async {}).await;
     let load = load(fleet.clone(), requests);
@@ -302,11 +298,11 @@
 async fn rates(
     fleet: &Arc<Fleet>,
     seconds: u64,
-    meanwhile: impl Future<Output = ()> + Send + 'static,
+    background: impl Future<Output = ()> + Send + 'static,
 ) -> Vec<String> {
     let before = all_counts(fleet).await;
     let start = Instant::now();
-    let running = tokio::spawn(meanwhile);
+    let running = tokio::spawn(background);
     sleep(Duration::from_secs(seconds)).await;
     let took = start.elapsed().as_secs_f64();
     let after = all_counts(fleet).await;
