--- a/crates/jaypin_bench/src/history/answers.rs
+++ b/crates/jaypin_bench/src/history/answers.rs
@@ -1,26 +1,27 @@
-//! Answers against their requests, and `not-run` against the executions.
+//! Checks answers against their requests, `not-run` refusals against the executions, and
+//! shutdowns against broken connections.
 
 use std::collections::HashMap;
 
 use super::{Answered, CallRecord, ExecutionRecord, History, Promise, Violation};
 
-/// A call that began so shortly before a shutdown may not have reached the host.
+/// A call that began less than this before a shutdown may not have reached the host.
 const ARRIVAL_TOLERANCE_MS: u64 = 100;
 
 impl CallRecord {
-    /// Whether the caller was told that it was not run.
+    /// Returns whether the call was refused with the outcome `not-run`.
     #[must_use]
     pub fn not_run(&self) -> bool {
         matches!(&self.answered, Answered::Refused { outcome, .. } if outcome == "not-run")
     }
 
-    /// Whether it was refused for want of capacity.
+    /// Returns whether the call was shed, that is refused for lack of capacity.
     #[must_use]
     pub fn shed(&self) -> bool {
         matches!(&self.answered, Answered::Refused { reason, .. } if reason == "shed")
     }
 
-    /// How a violation names it.
+    /// Returns the text that identifies the call in a violation.
     pub(super) fn name(&self) -> String {
         let id = self.request_id.as_deref().unwrap_or("without id");
         match &self.key {
@@ -30,7 +31,8 @@
     }
 }
 
-/// A whole answer is the expected one; a part is its beginning and is marked as a part.
+/// Checks that a whole answer equals the expected one, and that a partial answer is a
+/// prefix of it and is marked as incomplete.
 pub(super) fn check_answers(history: &History, out: &mut Vec<Violation>) {
     for call in &history.calls {
         let fault = match &call.answered {
@@ -48,8 +50,9 @@
     }
 }
 
-/// Nothing ran under the id of a request that was told `not-run`. Under its key nothing
-/// had run before the call began; a run that began later is another call's.
+/// Checks that nothing ran under the id of a request refused as `not-run`, and that nothing
+/// had run under its key before the call began. An execution that began later belongs to
+/// another call.
 pub(super) fn check_not_run(history: &History, out: &mut Vec<Violation>) {
     let mut by_id: HashMap<&str, &ExecutionRecord> = HashMap::new();
     let mut by_key: HashMap<&str, &ExecutionRecord> = HashMap::new();
@@ -81,7 +84,7 @@
     }
 }
 
-/// No connection breaks that a call had to a host when it was told to leave.
+/// Checks that a host that shuts down breaks no connection of a call that began before.
 pub(super) fn check_shutdowns(history: &History, out: &mut Vec<Violation>) {
     for shutdown in &history.shutdowns {
         let cut = history.calls.iter().filter(|call| {
--- a/crates/jaypin_bench/src/history/check.rs
+++ b/crates/jaypin_bench/src/history/check.rs
@@ -1,4 +1,4 @@
-//! The checks, and what they found.
+//! Runs every check and collects the violations.
 
 use serde::Serialize;
 
@@ -7,7 +7,7 @@
 use super::executions::{check_accounts, check_keys, check_leaving, check_requests};
 use super::order::{check_rules, check_shed_order};
 
-/// What is promised.
+/// A guarantee of the system towards callers and operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Promise {
@@ -17,50 +17,50 @@
     KeyRunsOnce,
     /// A caller gets the whole answer to its own request, or a marked end.
     OwnWholeAnswer,
-    /// What is said not to have run did not run.
+    /// A request that was refused as `not-run` did not run.
     NotRunIsNotRun,
     /// A higher tier is never shed while a lower one waits.
     ShedOrder,
-    /// Work is done for the account that asked.
+    /// Work is executed for the account that requested it.
     OwnAccount,
     /// A leaving backend server gets no new work.
     LeavingGetsNoWork,
-    /// A host that is told to leave cuts no call.
+    /// A host that shuts down cuts no call.
     ShutdownCutsNothing,
-    /// A rule version in force never falls.
+    /// The active rule version of a host never decreases.
     RulesNeverRevert,
 }
 
-/// A promise that a history breaks.
+/// A broken promise in a history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The promise.
+    /// The promise that was broken.
     pub promise: Promise,
-    /// What happened, for a person.
+    /// Human-readable description of what happened.
     pub detail: String,
 }
 
 impl Violation {
-    /// Joins promise and detail.
+    /// Creates a violation of a promise.
     pub(super) fn new(promise: Promise, detail: String) -> Self {
         Self { promise, detail }
     }
 }
 
-/// What the checks found, and over how much.
+/// Violations found by the checks, and the number of records checked.
 #[derive(Debug, Clone, Serialize)]
 pub struct CheckOutcome {
     /// Broken promises.
     pub violations: Vec<Violation>,
-    /// Calls that were looked at.
+    /// Number of calls checked.
     pub calls: usize,
-    /// Executions that were looked at.
+    /// Number of executions checked.
     pub executions: usize,
-    /// Refusals that said `not-run`.
+    /// Number of refusals with the outcome `not-run`.
     pub not_run: usize,
-    /// Refusals for want of capacity, on which the order is checked.
+    /// Number of calls shed for lack of capacity; the shedding order is checked on them.
     pub shed: usize,
-    /// Rule versions that were looked at.
+    /// Number of rule version records checked.
     pub rules: usize,
 }
 
--- a/crates/jaypin_bench/src/history/executions.rs
+++ b/crates/jaypin_bench/src/history/executions.rs
@@ -1,10 +1,10 @@
-//! Executions by request, by key, by account, and on leaving backend servers.
+//! Checks executions by request, by key, by account, and on leaving backend servers.
 
 use std::collections::{HashMap, HashSet};
 
 use super::{ExecutionRecord, History, Promise, Violation};
 
-/// No request id is executed twice, on whatever backend servers.
+/// Checks that no request id is executed twice, on the same or on different backend servers.
 pub(super) fn check_requests(history: &History, out: &mut Vec<Violation>) {
     let mut seen: HashMap<&str, &ExecutionRecord> = HashMap::new();
     for execution in &history.executions {
@@ -18,14 +18,14 @@
     }
 }
 
-/// No key of a call that may not be repeated is executed twice.
+/// Checks that no key of a call that must not be repeated is executed twice.
 pub(super) fn check_keys(history: &History, out: &mut Vec<Violation>) {
     let calls = history.calls.iter().filter(|call| call.never_repeat);
-    let once: HashSet<&str> = calls.filter_map(|call| call.key.as_deref()).collect();
+    let single_run_keys: HashSet<&str> = calls.filter_map(|call| call.key.as_deref()).collect();
     let mut seen: HashMap<&str, &ExecutionRecord> = HashMap::new();
     for execution in &history.executions {
         let key = execution.key.as_str();
-        if !once.contains(key) {
+        if !single_run_keys.contains(key) {
             continue;
         }
         if let Some(first) = seen.insert(key, execution) {
@@ -38,7 +38,7 @@
     }
 }
 
-/// What was executed for a request was executed for its caller's account.
+/// Checks that each request was executed for the account of its caller.
 pub(super) fn check_accounts(history: &History, out: &mut Vec<Violation>) {
     let calls = history.calls.iter();
     let accounts: HashMap<&str, &str> = calls
@@ -58,7 +58,7 @@
     }
 }
 
-/// Nothing begins on a backend server while hosts know that it is leaving.
+/// Checks that no execution begins on a backend server while hosts know that it is leaving.
 pub(super) fn check_leaving(history: &History, out: &mut Vec<Violation>) {
     for leaving in &history.leaving {
         let late = history.executions.iter().filter(|execution| {
--- a/crates/jaypin_bench/src/history/mod.rs
+++ b/crates/jaypin_bench/src/history/mod.rs
@@ -1,4 +1,5 @@
-//! The history checker: what callers, stand-ins and hosts logged, against the promises.
+//! History checker: checks the records of callers, stand-ins and hosts against the promises
+//! of the system.
 
 mod answers;
 mod check;
--- a/crates/jaypin_bench/src/history/order.rs
+++ b/crates/jaypin_bench/src/history/order.rs
@@ -1,16 +1,16 @@
-//! Order of shedding by tier, and of rule versions by time.
+//! Checks the order of shedding by tier and of rule versions by time.
 
 use std::collections::HashMap;
 
 use super::{CallRecord, History, Promise, Violation};
 
-/// Two logged times that are closer than this have no order.
+/// Logged times that differ by no more than this are treated as unordered.
 const CLOCK_TOLERANCE_MS: u64 = 50;
 
-/// No call is shed while a call of a lower tier waits for the same service.
+/// Checks that no call is shed while a call of a lower tier waits for the same service.
 ///
-/// When exactly a call was shed is not logged, so only calls that waited for as long as
-/// the shed call took are held against it; shorter waits are not judged.
+/// The exact time at which a call was shed is not logged. A waiting call therefore counts
+/// only if it waited for the whole duration of the shed call; shorter waits are ignored.
 pub(super) fn check_shed_order(history: &History, out: &mut Vec<Violation>) {
     let executions = history.executions.iter();
     let began: HashMap<&str, u64> = executions
@@ -41,7 +41,7 @@
     }
 }
 
-/// No host has a lesser version in force than before, also after it started anew.
+/// Checks that the active rule version of a host never decreases, including across restarts.
 pub(super) fn check_rules(history: &History, out: &mut Vec<Violation>) {
     let mut records: Vec<_> = history.rules.iter().collect();
     records.sort_by_key(|record| record.at_ms);
--- a/crates/jaypin_bench/src/history/record.rs
+++ b/crates/jaypin_bench/src/history/record.rs
@@ -1,76 +1,76 @@
-//! What a run logged, in JSON. All times are milliseconds since 1970, of one clock.
+//! JSON records of a run. All times are milliseconds since the Unix epoch, from one clock.
 
 use serde::{Deserialize, Serialize};
 
-/// Everything that a run logged.
+/// All records of a run.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct History {
-    /// Calls, as their callers saw them.
+    /// Calls, as recorded by their callers.
     pub calls: Vec<CallRecord>,
-    /// Executions, as backend servers logged them.
+    /// Executions, as logged by backend servers.
     pub executions: Vec<ExecutionRecord>,
-    /// Rule versions, as hosts said they were in force.
+    /// Active rule versions, as reported by hosts.
     pub rules: Vec<RulesRecord>,
-    /// When hosts were told that backend servers are leaving.
+    /// Periods in which hosts knew that a backend server was leaving.
     pub leaving: Vec<LeavingRecord>,
-    /// Hosts that were told to leave and ended by themselves.
+    /// Hosts that were asked to shut down and exited by themselves.
     #[serde(default)]
     pub shutdowns: Vec<ShutdownRecord>,
 }
 
-/// One call, as its caller saw it.
+/// One call, as recorded by its caller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// Id that the host gave it, when the caller was told.
+    /// Id that the host assigned, if an answer stated it.
     pub request_id: Option<String>,
-    /// Host that was called.
+    /// Name of the host that was called.
     pub host: String,
     /// The caller's client account.
     pub account: String,
-    /// Service that was asked.
+    /// Name of the service that was called.
     pub service: String,
     /// Rank of the tier; 0 is the highest.
     pub rank: u8,
-    /// Idempotency key.
+    /// Idempotency key; none when the call carried none.
     pub key: Option<String>,
     /// Whether it may run at most once.
     pub never_repeat: bool,
-    /// When it began.
+    /// Start time.
     pub began_ms: u64,
-    /// When it ended.
+    /// End time.
     pub ended_ms: u64,
-    /// The whole answer to this request: a text, or `METHOD /path` of a plain call.
+    /// Expected answer: the whole text, or `METHOD /path` for a plain call.
     pub expected: String,
-    /// What the caller got.
+    /// Answer that the caller received.
     pub answered: Answered,
 }
 
-/// What a caller got.
+/// Answer that a caller received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Answered {
-    /// An answer that says it is whole.
+    /// An answer that is marked as complete.
     Whole {
-        /// Its text, or `METHOD /path` that a plain service says it executed.
+        /// Text of the answer, or the `METHOD /path` that a plain service reports as executed.
         text: String,
     },
     /// A refusal, or an error at the end of a stream.
     Refused {
-        /// What came before it.
+        /// Text received before the refusal or error.
         text: String,
-        /// Why.
+        /// Reason of the refusal.
         reason: String,
         /// `not-run`, `ran` or `unknown`.
         outcome: String,
     },
-    /// A connection that broke within the answer.
+    /// A connection that broke during the answer.
     Broken {
-        /// What came before.
+        /// Text received before the end.
         text: String,
     },
-    /// A stream that ended as if it were whole, without its end mark.
+    /// A stream that ended normally but without its end mark.
     QuietEnd {
-        /// What came before.
+        /// Text received before the end.
         text: String,
     },
     /// No answer began.
@@ -80,47 +80,48 @@
 /// One execution, as a backend server logged it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ExecutionRecord {
-    /// The backend server.
+    /// Name of the backend server.
     pub backend: String,
     /// Id of the request.
     pub request_id: String,
     /// Idempotency key; empty when there was none.
     pub key: String,
-    /// Client account that it was made for; empty where the protocol has none.
+    /// Client account that the execution was made for; empty where the protocol states none.
     pub account: String,
-    /// When it began.
+    /// Start time.
     pub began_ms: u64,
 }
 
-/// A rule version in force.
+/// The active rule version of a host at one time.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RulesRecord {
-    /// The host.
+    /// Name of the host.
     pub host: String,
-    /// When it said so.
+    /// Time at which the host reported it.
     pub at_ms: u64,
-    /// The version; 0 means none yet.
+    /// The version; 0 means that the host has no rules yet.
     pub version: u64,
 }
 
-/// A backend server that is leaving.
+/// The period in which a backend server was leaving.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeavingRecord {
-    /// The backend server.
+    /// Name of the backend server.
     pub backend: String,
-    /// From when on it may get no new work, with the time that hosts have to learn of it.
+    /// Time from which it must get no new work: the announcement plus the time that hosts
+    /// have to learn of it.
     pub from_ms: u64,
-    /// Until when.
+    /// End of the period.
     pub until_ms: u64,
 }
 
-/// A host that was told to leave and ended by itself.
+/// A host that was asked to shut down and exited by itself.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ShutdownRecord {
-    /// The host.
+    /// Name of the host.
     pub host: String,
-    /// When it was told.
+    /// Time of the shutdown request.
     pub from_ms: u64,
-    /// When it had ended.
+    /// Time at which the host had exited.
     pub until_ms: u64,
 }
