--- a/crates/jaypin_bench/src/load/call.rs
+++ b/crates/jaypin_bench/src/load/call.rs
@@ -1,4 +1,5 @@
-//! One request as its caller makes it: picks a host, waits, comes back when told so.
+//! Caller side of one request: selects a host, waits for the answer and retries after
+//! refusals.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,39 +16,43 @@
 use super::{Arrival, Mix, Sample, Verdict, Work};
 use crate::{Answer, Client, completion_body};
 
-/// Hosts that a caller tries when connections are refused.
-const HOSTS_TRIED: usize = 3;
-/// Time after the last deadline at which a caller gives up.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Wait before a caller that was told no time comes back.
+/// Number of hosts that a caller connects to in one attempt when connections are refused.
+const MAX_HOSTS_PER_ATTEMPT: usize = 3;
+/// Time beyond the deadline of the whole answer after which a caller gives up.
+const ANSWER_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
+/// Retry delay when a refusal states none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What callers share.
+/// State that all callers of a run share.
 #[derive(Debug)]
 pub struct Callers {
-    /// What they ask for.
+    /// Mix that the arrivals were drawn from.
     pub mix: Mix,
-    /// The rules, for deadlines.
+    /// Rules, which give each tier's deadlines.
     pub rules: RuleSet,
-    /// Entry addresses and the key prefix that goes with them.
+    /// Latest entry addresses and the matching key prefix.
     pub entry: watch::Receiver<Arc<Entry>>,
-    /// How often a refused caller comes back.
+    /// Greatest number of retries after refusals.
     pub retries: u32,
-    /// Part of every key, so that no two runs share one.
+    /// Seed of the run, part of every idempotency key so that runs with different seeds share
+    /// no key.
     pub seed: u64,
 }
 
-/// What callers know of the hosts.
+/// Entry information as a host publishes it.
 #[derive(Debug, Clone, Default)]
 pub struct Entry {
-    /// Where to connect.
+    /// Addresses that callers connect to.
     pub addresses: Vec<SocketAddr>,
-    /// Beginning of idempotency keys.
+    /// Prefix of every idempotency key.
     pub key_prefix: String,
 }
 
-/// Makes one request and sees it to its end.
-pub async fn make(callers: &Callers, arrival: Arrival, measured: bool) -> Sample {
+/// Sends one request, retries it while allowed and returns its sample.
+///
+/// # Panics
+/// When the rules lack the tier of the request.
+pub async fn perform_request(callers: &Callers, arrival: Arrival, measured: bool) -> Sample {
     let name = tier_name(&callers.mix, &arrival);
     let tier = callers.rules.tier(name).cloned();
     let tier = tier.unwrap_or_else(|| panic!("the rules have no tier {name}"));
@@ -64,9 +69,9 @@
         whole: Duration::ZERO,
     };
     for attempt in 0..=callers.retries {
-        let answer = one_try(callers, &arrival, &tier, attempt).await;
-        let again = take(&mut sample, callers, &arrival, &tier, answer);
-        match again {
+        let answer = attempt_call(callers, &arrival, &tier, attempt).await;
+        let retry_in = record_answer(&mut sample, callers, &arrival, &tier, answer);
+        match retry_in {
             Some(wait) if attempt < callers.retries => sleep(wait).await,
             _ => break,
         }
@@ -81,8 +86,9 @@
     }
 }
 
-/// Takes an answer into the sample; gives when to come back, if that helps.
-fn take(
+/// Records an answer in the sample; returns the retry delay if the request was refused
+/// without being run.
+fn record_answer(
     sample: &mut Sample,
     callers: &Callers,
     arrival: &Arrival,
@@ -126,7 +132,7 @@
     millis.map_or(DEFAULT_RETRY_AFTER, Duration::from_millis)
 }
 
-async fn one_try(
+async fn attempt_call(
     callers: &Callers,
     arrival: &Arrival,
     tier: &TierRule,
@@ -134,14 +140,14 @@
 ) -> Result<Answer, Verdict> {
     let entry = callers.entry.borrow().clone();
     let start = usize::try_from(arrival.draw % 1_000_003).unwrap_or_default() + attempt as usize;
-    for shift in 0..HOSTS_TRIED.min(entry.addresses.len()) {
-        let address = entry.addresses[(start + shift) % entry.addresses.len()];
+    for offset in 0..MAX_HOSTS_PER_ATTEMPT.min(entry.addresses.len()) {
+        let address = entry.addresses[(start + offset) % entry.addresses.len()];
         let account = callers.mix.accounts[arrival.account].name;
         let client = Client::new(address, &format!("{account}-secret"));
         let call = send(callers, arrival, &entry, &client, tier);
-        match timeout(tier.whole_response + PATIENCE, call).await {
+        match timeout(tier.whole_response + ANSWER_TIMEOUT_MARGIN, call).await {
             Ok(Ok(answer)) => return Ok(answer),
-            // Nothing was sent, so another host may be tried.
+            // An I/O error means that nothing was sent, so the next host can be used.
             Ok(Err(error)) if error.is::<std::io::Error>() => {}
             Ok(Err(_)) => return Err(Verdict::NoAnswer),
             Err(_) => return Err(Verdict::Silent),
--- a/crates/jaypin_bench/src/load/capacity.rs
+++ b/crates/jaypin_bench/src/load/capacity.rs
@@ -1,4 +1,4 @@
-//! Engines of three speeds, and what they can do together.
+//! Configurations of engines with three speeds, and their combined capacity.
 
 use std::time::Duration;
 
@@ -6,23 +6,25 @@
 
 use super::Mix;
 
-/// Longest time between tokens at which a running stream counts as served.
+/// Longest time between tokens that the capacity calculation accepts.
 const GAP_LIMIT: Duration = Duration::from_millis(66);
-/// Gap in milliseconds and prefill rate in tokens a second, fastest first.
+/// Gap in milliseconds and prefill rate in tokens per second, fastest first.
 const SPEEDS: [(u64, f64); 3] = [(25, 6_000.0), (35, 4_000.0), (50, 2_500.0)];
-/// Streams an engine admits at once.
+/// Concurrent streams that an engine admits.
 const SLOTS: usize = 16;
-/// Streams an engine runs without slowing down.
+/// Concurrent streams that an engine runs without slowing down.
 const KNEE: usize = 6;
-/// Share by which each stream beyond the knee lengthens the gap.
+/// Fraction by which each stream beyond the knee lengthens the gap.
 const GAP_GROWTH: f64 = 0.1;
-/// Blocks in an engine's prefix cache: fewer than all accounts' prefixes need.
+/// Blocks in an engine's prefix cache; too few for the prefixes of all accounts, so that
+/// blocks are evicted.
 const CACHE_BLOCKS: usize = 256;
 
-/// So many engines of three speeds, which share a count of the blocks they hold.
+/// Returns `count` engine configurations that cycle through three speeds and share one
+/// record of the cached blocks.
 #[must_use]
 pub fn unlike_engines(count: usize, report_lag: Duration) -> Vec<EngineConfig> {
-    let held = HeldBlocks::default();
+    let held_blocks = HeldBlocks::default();
     (0..count)
         .map(|index| {
             let (gap, prefill_rate) = SPEEDS[index % SPEEDS.len()];
@@ -34,27 +36,28 @@
                 prefill_rate,
                 cache_blocks: CACHE_BLOCKS,
                 report_lag,
-                held: held.clone(),
+                held: held_blocks.clone(),
                 ..EngineConfig::default()
             }
         })
         .collect()
 }
 
-/// Text requests a second that the engines can answer within the gap limit, nothing cached.
+/// Returns the text requests per second that the engines can answer within the gap limit
+/// when no prompt is cached.
 #[must_use]
 pub fn capacity(engines: &[EngineConfig], mix: &Mix) -> f64 {
     let (prompt, answer) = mix.mean_tokens();
     let each = engines.iter().map(|engine| {
-        let decode = decode_rate(engine) / answer;
+        let decode = max_decode_rate(engine) / answer;
         let prefill = engine.prefill_rate / prompt;
         decode.min(prefill)
     });
     each.sum()
 }
 
-/// Most tokens a second that an engine makes with every gap within the limit.
-fn decode_rate(engine: &EngineConfig) -> f64 {
+/// Returns the greatest token rate of an engine, per second, with every gap within the limit.
+fn max_decode_rate(engine: &EngineConfig) -> f64 {
     let mut best = 0.0_f64;
     let mut rate = 0.0;
     for running in 1..=engine.slots {
--- a/crates/jaypin_bench/src/load/compare.rs
+++ b/crates/jaypin_bench/src/load/compare.rs
@@ -1,4 +1,4 @@
-//! Several policies, loads and seeds, one after the other, in one table.
+//! Runs several policies, loads and seeds in sequence and shows them in one table.
 
 use std::fmt::Write as _;
 
@@ -6,10 +6,10 @@
 
 type AnyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The policy that others are compared with.
-const REFERENCE: &str = "baseline";
+/// Policy whose weighted goodput is the denominator of the ratio.
+const REFERENCE_POLICY: &str = "baseline";
 
-/// Makes a run for each load, seed and policy.
+/// Makes a run for each combination of load, seed and policy.
 ///
 /// # Errors
 /// When a fleet does not start.
@@ -36,7 +36,8 @@
     Ok(reports)
 }
 
-/// One line a run, with the ratio of its weighted goodput to the baseline's.
+/// Returns a table with one line per run, which states the ratio of its weighted goodput
+/// to that of the `baseline` run with the same load and seed.
 #[must_use]
 pub fn comparison_table(reports: &[Report]) -> String {
     let mut out = String::new();
@@ -51,19 +52,19 @@
         "weighted", "ratio", "wasted%", "failed%", "again%", "first95", "gap95", "refused50"
     );
     for report in reports {
-        line(&mut out, report, reference(reports, report));
+        write_line(&mut out, report, reference_run(reports, report));
     }
     out
 }
 
-fn reference<'a>(reports: &'a [Report], report: &Report) -> Option<&'a Report> {
+fn reference_run<'a>(reports: &'a [Report], report: &Report) -> Option<&'a Report> {
     reports.iter().find(|other| {
         let same_load = (other.load - report.load).abs() < f64::EPSILON;
-        other.policy == REFERENCE && other.seed == report.seed && same_load
+        other.policy == REFERENCE_POLICY && other.seed == report.seed && same_load
     })
 }
 
-fn line(out: &mut String, report: &Report, reference: Option<&Report>) {
+fn write_line(out: &mut String, report: &Report, reference: Option<&Report>) {
     let _ = write!(
         out,
         "{:>5}{:>6} {:<9}",
--- a/crates/jaypin_bench/src/load/faults.rs
+++ b/crates/jaypin_bench/src/load/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong halfway through a run, when asked for.
+//! Faults that a run can inject at the middle of its measured period.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use crate::Fleet;
 
-/// How long the host list still names a host that is gone.
+/// Time for which the host list still contains a killed host.
 const HOST_LIST_LAG: Duration = Duration::from_secs(5);
 
-/// What goes wrong.
+/// Faults to inject; none by default.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Faults {
     /// Engine 0 becomes slower by this factor.
@@ -22,8 +22,8 @@
 }
 
 impl Faults {
-    /// Makes it go wrong now; gives what was done.
-    pub async fn strike(self, fleet: &mut Fleet) -> Vec<String> {
+    /// Injects the faults and returns a description of each one injected.
+    pub async fn inject(self, fleet: &mut Fleet) -> Vec<String> {
         let mut done = Vec::new();
         if let Some(factor) = self.slow_engine {
             fleet.engines[0].slow_down(factor);
@@ -43,14 +43,15 @@
     }
 }
 
-/// Kills the first host that leads shards, or that leads none.
-async fn kill(fleet: &mut Fleet, leading: bool) -> Option<String> {
+/// Kills the first host that leads shards, or the first that leads none; returns a
+/// description, or none when no host matches.
+async fn kill(fleet: &mut Fleet, leads_shards: bool) -> Option<String> {
     for index in 0..fleet.hosts.len() {
         let Some((_, status)) = fleet.hosts[index].page("/status").await else {
             continue;
         };
         let leads = status["shards_led"].as_u64().unwrap_or_default();
-        if (leads > 0) == leading {
+        if (leads > 0) == leads_shards {
             fleet.hosts[index].kill();
             return Some(format!(
                 "{} was killed, which led {leads} shards",
--- a/crates/jaypin_bench/src/load/mix.rs
+++ b/crates/jaypin_bench/src/load/mix.rs
@@ -1,22 +1,22 @@
-//! What callers ask for: the mixes of the two users.
+//! Request mixes: the tiers, lengths and shares of the requests that a run generates.
 //!
-//! Lengths and the deadlines of overnight summaries are scaled down by the same factor,
-//! so that a run of half a minute exercises what half an hour would.
+//! Text lengths and the deadlines of overnight summaries are scaled down by the same
+//! factor, so that a run of half a minute covers what otherwise takes half an hour.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Rule file of the first mix, before its deadlines are scaled.
+/// Rule file of the `lanyang` mix, before its deadlines are scaled.
 const LANYANG_RULES: &str = include_str!("../../../../examples/lanyang-rules.yaml");
-/// Rule file of the second mix, before its deadlines are scaled.
+/// Rule file of the `hanbit` mix, before its deadlines are scaled.
 const HANBIT_RULES: &str = include_str!("../../../../examples/hanbit-rules.yaml");
-/// Deadlines of overnight summaries in the rule files, and as a run uses them.
+/// Deadlines of overnight summaries: the text in the rule files and its scaled replacement.
 const SCALED_DEADLINES: [(&str, &str); 2] = [
     ("first-token-ms: 60000", "first-token-ms: 8000"),
     ("whole-ms: 600000", "whole-ms: 25000"),
 ];
 
-/// Token counts from a least to a greatest, with equal weight on each ratio.
+/// Log-uniform distribution of token counts between two bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct Lengths {
     /// Least number of tokens.
@@ -26,7 +26,7 @@
 }
 
 impl Lengths {
-    /// Joins both ends.
+    /// Creates the distribution from its bounds, both in tokens.
     #[must_use]
     pub fn new(least: u32, greatest: u32) -> Self {
         Self {
@@ -41,7 +41,7 @@
         (self.greatest - self.least) / (self.greatest / self.least).ln()
     }
 
-    /// Draws one.
+    /// Draws one token count, rounded to a whole number.
     pub fn draw(self, rng: &mut ChaCha8Rng) -> f64 {
         let share = rng.random::<f64>();
         (self.least * (self.greatest / self.least).powf(share)).round()
@@ -51,67 +51,67 @@
 /// A kind of text request.
 #[derive(Debug, Clone)]
 pub struct TextClass {
-    /// Tier it names.
+    /// Tier that the request names.
     pub tier: &'static str,
     /// Share of all text requests.
     pub share: f64,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: Lengths,
-    /// Tokens of the answer.
+    /// Number of answer tokens.
     pub answer: Lengths,
-    /// Share of the prompt that other requests of the account begin with, too.
+    /// Share of the prompt that is a prefix common to several requests of the account.
     pub shared_prefix: f64,
 }
 
 /// A kind of plain call.
 #[derive(Debug, Clone)]
 pub struct PlainCall {
-    /// Tier that the rules give it.
+    /// Tier that the rules assign to the call.
     pub tier: &'static str,
     /// Share of all plain calls.
     pub share: f64,
-    /// Method.
+    /// HTTP method.
     pub method: hyper::Method,
     /// Path below the service.
     pub path: &'static str,
-    /// Whether it may not be repeated and carries a key.
+    /// Whether the call must not be repeated; it then carries an idempotency key.
     pub never_repeat: bool,
 }
 
 /// A client account.
 #[derive(Debug, Clone)]
 pub struct Account {
-    /// Name; the credential is the name with `-secret` behind it.
+    /// Account name; the credential is this name followed by `-secret`.
     pub name: &'static str,
     /// Share of all requests.
     pub share: f64,
 }
 
-/// What one user's callers ask for.
+/// The traffic of one deployment: its accounts and kinds of request.
 #[derive(Debug, Clone)]
 pub struct Mix {
     /// Name of the mix.
     pub name: &'static str,
-    /// Model that text requests name.
+    /// Model name in text requests.
     pub model: &'static str,
-    /// The plain service.
+    /// Name of the service that plain calls address.
     pub plain_service: &'static str,
-    /// Rule file.
+    /// Text of the rule file, with scaled deadlines.
     pub rules: String,
-    /// Client accounts, a few of them large.
+    /// Client accounts; their shares are unequal.
     pub accounts: Vec<Account>,
     /// Kinds of text request.
     pub texts: Vec<TextClass>,
     /// Kinds of plain call.
     pub plain: Vec<PlainCall>,
-    /// Plain calls for each text request.
+    /// Mean number of plain calls per text request.
     pub plain_per_text: f64,
-    /// Prompt beginnings that the requests of one account and kind share.
+    /// Number of distinct prompt prefixes per account and kind of text request.
     pub prefixes: u32,
 }
 
 impl Mix {
-    /// Finds a mix by name.
+    /// Returns the mix with this name, or `None` for an unknown name.
     #[must_use]
     pub fn named(name: &str) -> Option<Self> {
         match name {
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Milking robots: commands, status questions, labels, heavy overnight summaries.
+    /// Returns the mix of a milking robot service: commands, status questions, labels and
+    /// long overnight summaries.
     #[must_use]
     pub fn lanyang() -> Self {
         Self {
@@ -146,7 +147,8 @@
         }
     }
 
-    /// Newsagents' rounds: route plans, doorstep questions, labels, complaint summaries.
+    /// Returns the mix of a newspaper delivery service: route plans, doorstep questions,
+    /// labels and complaint summaries.
     #[must_use]
     pub fn hanbit() -> Self {
         Self {
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Mean tokens of the prompt and of the answer of a text request.
+    /// Returns the mean numbers of prompt and answer tokens of a text request.
     #[must_use]
     pub fn mean_tokens(&self) -> (f64, f64) {
         let mut prompt = 0.0;
--- a/crates/jaypin_bench/src/load/mod.rs
+++ b/crates/jaypin_bench/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load tool: open loop, seeded, with the mixes of the two users.
+//! Load generator: sends seeded open-loop traffic that follows one of two request mixes.
 
 mod call;
 mod capacity;
--- a/crates/jaypin_bench/src/load/outcome.rs
+++ b/crates/jaypin_bench/src/load/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of one request, judged against its tier's deadlines.
+//! Outcome of one request, evaluated against the deadlines of its tier.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 
 use crate::Answer;
 
-/// Of a stream's gaps this share must be within the tier's limit.
+/// Share of a stream's gaps that must be within the tier's limit.
 const GAP_SHARE: f64 = 0.95;
-/// Gaps may be so much longer than the tier's limit before they count, for the clocks.
+/// Amount by which a gap may exceed the tier's limit, to allow for clock inaccuracy.
 const GAP_TOLERANCE: Duration = Duration::from_millis(2);
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
@@ -24,27 +24,27 @@
     LateGaps,
     /// Complete; the end was late.
     LateEnd,
-    /// Refused, with reason and outcome word.
+    /// Refused, with the reason and outcome that the host stated.
     Refused {
-        /// Why.
+        /// Reason of the refusal, `none` when it was not stated.
         reason: String,
-        /// `not-run`, `ran` or `unknown`.
+        /// `not-run`, `ran` or `unknown`; `none` when it was not stated.
         outcome: String,
     },
     /// The stream ended without its end mark.
     Cut,
-    /// The answer is another request's or not whole.
+    /// The answer is incomplete or differs from the one expected for this request.
     Wrong,
-    /// No host took the connection, or it broke before an answer began.
+    /// No host accepted the connection, or it broke before an answer began.
     NoAnswer,
-    /// Nothing came until long after the last deadline.
+    /// The answer had not ended a few seconds after the last deadline.
     Silent,
 }
 
 impl Verdict {
-    /// The word under which it is counted.
+    /// Returns the label under which the report counts the verdict.
     #[must_use]
-    pub fn word(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
             Self::Good => "good",
             Self::LateFirstToken => "late-first-token",
@@ -59,32 +59,32 @@
     }
 }
 
-/// One request, from arrival to its last answer.
+/// Measurements of one request, from its arrival to its last answer.
 #[derive(Debug, Clone, Serialize)]
 pub struct Sample {
-    /// Number in the order of arrival.
+    /// Index in the order of arrival.
     pub index: usize,
-    /// When it came, from the start of the load.
+    /// Arrival time, relative to the start of the load.
     pub at: Duration,
-    /// Its tier.
+    /// Name of the tier.
     pub tier: String,
-    /// Whether it came in the time that is measured.
+    /// Whether it arrived within the measured period.
     pub measured: bool,
     /// Whether it was a plain call.
     pub plain: bool,
-    /// Ids that hosts gave its tries, as far as they were told.
+    /// Ids that hosts assigned to its attempts, where an answer stated one.
     pub request_ids: Vec<String>,
-    /// What became of the last try.
+    /// Outcome of the last attempt.
     pub verdict: Verdict,
-    /// Time to the first token of the last try.
+    /// Time to the first token of the last attempt.
     pub first_token: Option<Duration>,
-    /// 95th percentile of the gaps of the last try.
+    /// 95th percentile of the gaps of the last attempt.
     pub gap: Option<Duration>,
-    /// Time to the end of the last try.
+    /// Time to the end of the last attempt.
     pub whole: Duration,
 }
 
-/// Judges the answer to a text against what was expected and when.
+/// Evaluates the answer to a text request against the expected text and the deadlines.
 #[must_use]
 pub fn judge_text(answer: &Answer, expected: &str, tier: &TierRule) -> Verdict {
     if let Some(refused) = refused(answer) {
@@ -105,7 +105,7 @@
     in_time(answer, tier)
 }
 
-/// Judges the answer to a plain call.
+/// Evaluates the answer to a plain call against the expected route and the deadline.
 #[must_use]
 pub fn judge_plain(answer: &Answer, route: &str, tier: &TierRule) -> Verdict {
     if let Some(refused) = refused(answer) {
@@ -134,20 +134,20 @@
         (None, false) => answer.json(),
         (None, true) => return None,
     };
-    let word = |name: &str| body[name].as_str().unwrap_or("none").to_owned();
+    let field = |name: &str| body[name].as_str().unwrap_or("none").to_owned();
     Some(Verdict::Refused {
-        reason: word("reason"),
-        outcome: word("outcome"),
+        reason: field("reason"),
+        outcome: field("outcome"),
     })
 }
 
-/// When the first token came.
+/// Returns the time from the request to the first token.
 #[must_use]
 pub fn first_token(answer: &Answer) -> Option<Duration> {
     answer.events.first().map(|event| event.at)
 }
 
-/// 95th percentile of the times between tokens.
+/// Returns the 95th percentile of the times between tokens; none for fewer than two tokens.
 #[must_use]
 pub fn gap(answer: &Answer) -> Option<Duration> {
     let pairs = answer.events.windows(2);
@@ -162,8 +162,8 @@
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         clippy::cast_precision_loss,
-        reason = "the place lies within the list"
+        reason = "the index lies within the list"
     )]
-    let place = ((gaps.len() - 1) as f64 * GAP_SHARE).round() as usize;
-    gaps.get(place).copied()
+    let index = ((gaps.len() - 1) as f64 * GAP_SHARE).round() as usize;
+    gaps.get(index).copied()
 }
--- a/crates/jaypin_bench/src/load/plan.rs
+++ b/crates/jaypin_bench/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! Arrivals drawn from a seed before the run: the same seed, the same requests.
+//! Draws all arrivals of a run in advance; equal seeds give equal requests.
 
 use std::time::Duration;
 
@@ -7,46 +7,48 @@
 
 use super::Mix;
 
-/// Characters of a prompt that count as one token.
+/// Prompt characters per token, as the stand-in engine counts them.
 const CHARS_PER_TOKEN: usize = jaypin_standin::CHARS_PER_TOKEN;
 
-/// One request to come.
+/// A planned request.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Number in the order of arrival.
+    /// Index in the order of arrival.
     pub index: usize,
-    /// When it comes, from the start of the load.
+    /// Arrival time, relative to the start of the load.
     pub at: Duration,
-    /// Place of its account in the mix.
+    /// Index of the account in [`Mix::accounts`].
     pub account: usize,
-    /// Random number that picks its host.
+    /// Random number that selects the host.
     pub draw: u64,
-    /// What it asks for.
+    /// Content of the request.
     pub work: Work,
 }
 
-/// What a request asks for.
+/// Content of a request.
 #[derive(Debug, Clone)]
 pub enum Work {
-    /// A text.
+    /// A text request.
     Text {
-        /// Place of its kind in the mix.
+        /// Index of the kind in [`Mix::texts`].
         class: usize,
-        /// Which of the shared prompt beginnings it has.
+        /// Number of the shared prompt prefix, below [`Mix::prefixes`].
         prefix: u32,
-        /// Tokens of the prompt.
+        /// Number of prompt tokens.
         prompt: usize,
-        /// Tokens of the answer.
+        /// Number of answer tokens.
         answer: u64,
     },
     /// A plain call.
     Plain {
-        /// Place of its kind in the mix.
+        /// Index of the kind in [`Mix::plain`].
         call: usize,
     },
 }
 
-/// Draws the arrivals of a time, so many text requests a second, as a Poisson process.
+/// Draws the arrivals within `length` as a Poisson process.
+///
+/// Plain calls come in addition to `texts_per_second`, in the ratio that the mix states.
 #[must_use]
 pub fn plan(mix: &Mix, texts_per_second: f64, length: Duration, seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -62,7 +64,7 @@
         arrivals.push(Arrival {
             index: arrivals.len(),
             at: Duration::from_secs_f64(at),
-            account: pick(mix.accounts.iter().map(|account| account.share), &mut rng),
+            account: pick_weighted(mix.accounts.iter().map(|account| account.share), &mut rng),
             draw: rng.random(),
             work: draw_work(mix, &mut rng),
         });
@@ -72,16 +74,16 @@
 fn draw_work(mix: &Mix, rng: &mut ChaCha8Rng) -> Work {
     let plain_share = mix.plain_per_text / (1.0 + mix.plain_per_text);
     if rng.random::<f64>() < plain_share {
-        let call = pick(mix.plain.iter().map(|call| call.share), rng);
+        let call = pick_weighted(mix.plain.iter().map(|call| call.share), rng);
         return Work::Plain { call };
     }
-    let class = pick(mix.texts.iter().map(|class| class.share), rng);
+    let class = pick_weighted(mix.texts.iter().map(|class| class.share), rng);
     let kind = &mix.texts[class];
     Work::Text {
         class,
         prefix: rng.random_range(0..mix.prefixes),
-        prompt: whole(kind.prompt.draw(rng)),
-        answer: whole(kind.answer.draw(rng)) as u64,
+        prompt: to_token_count(kind.prompt.draw(rng)),
+        answer: to_token_count(kind.answer.draw(rng)) as u64,
     }
 }
 
@@ -90,24 +92,25 @@
     clippy::cast_sign_loss,
     reason = "token counts are small and positive"
 )]
-fn whole(tokens: f64) -> usize {
+fn to_token_count(tokens: f64) -> usize {
     tokens as usize
 }
 
-/// Picks a place by the weights, which are shares of one.
-fn pick(shares: impl ExactSizeIterator<Item = f64>, rng: &mut ChaCha8Rng) -> usize {
+/// Picks an index at random, weighted by shares that sum to one.
+fn pick_weighted(shares: impl ExactSizeIterator<Item = f64>, rng: &mut ChaCha8Rng) -> usize {
     let last = shares.len() - 1;
-    let mut rest = rng.random::<f64>();
-    for (place, share) in shares.enumerate() {
-        rest -= share;
-        if rest < 0.0 {
-            return place;
+    let mut remaining = rng.random::<f64>();
+    for (index, share) in shares.enumerate() {
+        remaining -= share;
+        if remaining < 0.0 {
+            return index;
         }
     }
     last
 }
 
-/// Text of a prompt: a beginning shared within account and kind, then its own.
+/// Returns the prompt text: a prefix shared within account and kind, then text unique to
+/// the request. It is empty for a plain call.
 #[must_use]
 pub fn prompt_text(mix: &Mix, arrival: &Arrival) -> String {
     let Work::Text {
@@ -122,7 +125,7 @@
     let kind = &mix.texts[class];
     let account = mix.accounts[arrival.account].name;
     let chars = prompt * CHARS_PER_TOKEN;
-    let shared = share_of(chars, kind.shared_prefix);
+    let shared = scale_length(chars, kind.shared_prefix);
     let mut text = String::with_capacity(chars);
     fill(
         &mut text,
@@ -134,13 +137,13 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "lengths are small")]
-fn share_of(chars: usize, share: f64) -> usize {
-    whole(chars as f64 * share)
+fn scale_length(chars: usize, share: f64) -> usize {
+    to_token_count(chars as f64 * share)
 }
 
-fn fill(text: &mut String, words: &str, upto: usize) {
-    while text.len() < upto {
+fn fill(text: &mut String, words: &str, length: usize) {
+    while text.len() < length {
         text.push_str(words);
     }
-    text.truncate(upto);
+    text.truncate(length);
 }
--- a/crates/jaypin_bench/src/load/report.rs
+++ b/crates/jaypin_bench/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a run, as JSON and as a table.
+//! Report of a run, as JSON and as a table.
 
 use std::collections::{BTreeMap, HashSet};
 use std::fmt::Write as _;
@@ -11,21 +11,21 @@
 
 use super::{Faults, Sample, Verdict};
 
-/// Percentiles of times, in milliseconds.
+/// Percentiles of durations, in milliseconds; all zero when there are none.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Percentiles {
-    /// Values counted.
+    /// Number of values.
     pub count: u64,
-    /// Half are below.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100 are below.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are below.
+    /// 99th percentile.
     pub p99: f64,
 }
 
 impl Percentiles {
-    /// Counts times.
+    /// Computes the percentiles of the durations.
     #[must_use]
     pub fn of(times: impl Iterator<Item = Duration>) -> Self {
         let Ok(mut histogram) = Histogram::<u64>::new(3) else {
@@ -49,125 +49,127 @@
     }
 }
 
-/// Figures of one tier.
+/// Results of one tier.
 #[derive(Debug, Clone, Serialize)]
 pub struct TierReport {
-    /// Its name.
+    /// Name of the tier.
     pub tier: String,
-    /// Its weight.
+    /// Weight of the tier in the weighted goodput.
     pub weight: f64,
-    /// Requests offered in the measured time.
+    /// Requests that arrived within the measured period.
     pub offered: usize,
-    /// Complete answers within every deadline.
+    /// Requests with a complete answer within every deadline.
     pub good: usize,
-    /// Good over offered.
+    /// Ratio of `good` to `offered`.
     pub goodput: f64,
-    /// Requests by what became of them.
+    /// Number of requests by verdict.
     pub verdicts: BTreeMap<String, usize>,
-    /// Times to the first token.
+    /// Times from the request to the first token.
     pub first_token_ms: Percentiles,
-    /// 95th percentiles of each stream's gaps.
+    /// Distribution over the streams of each stream's 95th percentile gap.
     pub gap_ms: Percentiles,
 }
 
-/// What one host process used over the measured time.
+/// Resource usage of one host process over the measured period.
 #[derive(Debug, Clone, Serialize)]
 pub struct HostCost {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// Processor time as a share of one core.
+    /// Processor time divided by elapsed time: the mean number of cores in use.
     pub cores: f64,
-    /// Resident memory at the end, in MiB.
+    /// Resident memory at the end of the measured period, in MiB.
     pub resident_mib: f64,
-    /// Most resident memory, in MiB.
+    /// Peak resident memory, in MiB.
     pub peak_resident_mib: f64,
 }
 
-/// Figures of a run.
+/// Results of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
     /// Name of the mix.
     pub mix: String,
-    /// Policy of the hosts.
+    /// Scheduling policy of the hosts.
     pub policy: String,
-    /// Load over the engines' capacity.
+    /// Offered load as a multiple of the engines' capacity.
     pub load: f64,
-    /// Seed.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub hosts: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// How old load reports are.
+    /// Delay of the engines' load reports.
     pub report_lag: Duration,
-    /// How often refused callers come back.
+    /// Greatest number of retries of a refused request.
     pub retries: u32,
-    /// What was made to go wrong.
+    /// Faults that the configuration requested.
     pub faults: Faults,
-    /// What was done of it.
+    /// Descriptions of the faults that were injected.
     pub struck: Vec<String>,
-    /// Length of the measured time.
+    /// Length of the measured period.
     pub measured: Duration,
-    /// Text requests a second that the engines can answer.
+    /// Text requests per second that the engines can answer.
     pub capacity: f64,
-    /// Goodput weighted by tier.
+    /// Goodput over all tiers, weighted by tier.
     pub weighted_goodput: f64,
     /// Tiers, highest first.
     pub tiers: Vec<TierReport>,
-    /// Wasted over all prefill tokens.
+    /// Ratio of wasted to all prefill tokens.
     pub wasted_prefill: f64,
-    /// Part of it: requests without a complete answer in time.
+    /// Portion of `wasted_prefill` spent on requests without a complete answer in time.
     pub wasted_on_failed: f64,
-    /// Part of it: tokens computed again that some engine held.
+    /// Portion of `wasted_prefill` that successful requests spent on tokens that some engine
+    /// already had in its cache.
     pub wasted_on_recomputed: f64,
-    /// Prompt tokens found in caches over all prompt tokens.
+    /// Ratio of prompt tokens found in caches to all prompt tokens.
     pub cached: f64,
-    /// Times to the first token of complete answers, all tiers but the lowest.
+    /// Times to the first token in the measured period, over all tiers but the lowest.
     pub first_token_ms: Percentiles,
-    /// 95th percentiles of each such stream's gaps.
+    /// Distribution of the 95th percentile gap of these streams.
     pub gap_ms: Percentiles,
-    /// Refusals by reason and outcome word.
+    /// Number of refusals by reason and outcome.
     pub refusals: BTreeMap<String, usize>,
-    /// Times to a refusal that was not run.
+    /// Times to refusals whose outcome is `not-run`.
     pub refusal_ms: Percentiles,
     /// Calls to the platform over the whole run.
     pub platform: PlatformCalls,
-    /// Hosts that lived to the end.
+    /// Resource usage of the hosts that ran to the end.
     pub costs: Vec<HostCost>,
-    /// Latest start of a request after its planned time: a late load tool shows here.
+    /// Delays of request starts behind their planned time; high values show that the load
+    /// generator itself was too slow.
     pub start_delay_ms: Percentiles,
 }
 
-/// Figures by tier, highest first.
+/// Returns the results of each tier, highest tier first.
 #[must_use]
 pub fn by_tier(samples: &[Sample], rules: &RuleSet) -> Vec<TierReport> {
     let tiers = rules.tiers.iter().map(|tier| {
-        let of_tier: Vec<&Sample> = samples
+        let tier_samples: Vec<&Sample> = samples
             .iter()
             .filter(|sample| sample.measured && sample.tier == tier.name)
             .collect();
         let mut verdicts = BTreeMap::new();
-        for sample in &of_tier {
+        for sample in &tier_samples {
             *verdicts
-                .entry(sample.verdict.word().to_owned())
+                .entry(sample.verdict.label().to_owned())
                 .or_default() += 1;
         }
         let good = verdicts.get("good").copied().unwrap_or_default();
         TierReport {
             tier: tier.name.clone(),
             weight: tier.weight,
-            offered: of_tier.len(),
+            offered: tier_samples.len(),
             good,
-            goodput: ratio(good as u64, of_tier.len() as u64),
+            goodput: ratio(good as u64, tier_samples.len() as u64),
             verdicts,
-            first_token_ms: Percentiles::of(of_tier.iter().filter_map(|one| one.first_token)),
-            gap_ms: Percentiles::of(of_tier.iter().filter_map(|one| one.gap)),
+            first_token_ms: Percentiles::of(tier_samples.iter().filter_map(|one| one.first_token)),
+            gap_ms: Percentiles::of(tier_samples.iter().filter_map(|one| one.gap)),
         }
     });
     tiers.collect()
 }
 
-/// Weight of the good over the weight of the offered.
+/// Returns the weight of the good requests divided by the weight of those offered.
 #[must_use]
 #[expect(clippy::cast_precision_loss, reason = "counts of a run are small")]
 pub fn weighted(tiers: &[TierReport]) -> f64 {
@@ -178,7 +180,9 @@
     sum(|tier| tier.good) / sum(|tier| tier.offered).max(f64::MIN_POSITIVE)
 }
 
-/// Shares of prefill: on failed requests, computed again, and of prompts found in caches.
+/// Returns three ratios: prefill tokens spent on failed requests and prefill tokens
+/// recomputed for successful ones, each over all prefill tokens, and prompt tokens found in caches over all
+/// prompt tokens.
 #[must_use]
 pub fn prefill(samples: &[Sample], executions: &[Execution]) -> (f64, f64, f64) {
     let good: HashSet<&str> = samples
@@ -206,7 +210,7 @@
     )
 }
 
-/// Counts refusals by `reason outcome`.
+/// Counts refusals within the measured period by `reason outcome`.
 #[must_use]
 pub fn refusals(samples: &[Sample]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
@@ -218,7 +222,7 @@
     counts
 }
 
-/// Times to refusals that were not run.
+/// Returns the times to refusals whose outcome is `not-run`.
 #[must_use]
 pub fn refusal_times(samples: &[Sample]) -> Percentiles {
     let refused = samples.iter().filter(|sample| {
@@ -238,7 +242,7 @@
 }
 
 impl Report {
-    /// The figures as a table.
+    /// Formats the report as a table.
     #[must_use]
     pub fn table(&self) -> String {
         let mut out = String::new();
@@ -263,7 +267,7 @@
             "tier", "weight", "offered", "goodput", "first p50", "first p95", "gap p50", "gap p95"
         );
         for tier in &self.tiers {
-            tier_line(&mut out, tier);
+            write_tier_line(&mut out, tier);
         }
         let _ = writeln!(
             out,
@@ -296,7 +300,7 @@
     }
 }
 
-fn tier_line(out: &mut String, tier: &TierReport) {
+fn write_tier_line(out: &mut String, tier: &TierReport) {
     let failed: Vec<String> = tier
         .verdicts
         .iter()
--- a/crates/jaypin_bench/src/load/runner.rs
+++ b/crates/jaypin_bench/src/load/runner.rs
@@ -1,4 +1,4 @@
-//! One run: a fleet, a planned load, figures.
+//! One run: starts a fleet, sends the planned load and builds the report.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::call::{Callers, Entry, make};
+use super::call::{Callers, Entry, perform_request};
 use super::report::{by_tier, prefill, refusal_times, refusals, weighted};
 use super::usage::{cpu_time, resident_kib};
 use super::{
@@ -20,43 +20,44 @@
 
 type AnyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// How often callers ask anew which hosts to use.
-const ENTRY_PAUSE: Duration = Duration::from_secs(2);
-/// How often progress is told.
-const PROGRESS_PAUSE: Duration = Duration::from_secs(5);
+/// Interval at which the entry addresses are refreshed, and timeout of each refresh call.
+const ENTRY_REFRESH_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval of progress messages while the last answers are outstanding.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a run is like.
+/// Configuration of a run.
 #[derive(Debug, Clone)]
 pub struct LoadConfig {
-    /// What callers ask for.
+    /// Mix of requests.
     pub mix: Mix,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub hosts: usize,
-    /// Engines of three speeds.
+    /// Number of engines, which cycle through three speeds.
     pub engines: usize,
-    /// Application workers.
+    /// Number of application workers.
     pub apps: usize,
-    /// Policy of the hosts.
+    /// Scheduling policy of the hosts: `grants`, `local` or `baseline`.
     pub policy: String,
-    /// Load over the engines' capacity.
+    /// Offered load as a multiple of the engines' capacity.
     pub load: f64,
-    /// Time before requests are measured.
+    /// Time from the start of the load to the measured period.
     pub warmup: Duration,
-    /// Time in which arriving requests are measured.
+    /// Length of the measured period; requests that arrive within it are measured.
     pub duration: Duration,
-    /// Time for which load goes on, so that the measured requests end under load.
+    /// Time for which the load continues after the measured period, so that measured requests
+    /// also finish under load.
     pub cooldown: Duration,
-    /// Seed.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// How old load reports are.
+    /// Delay of the engines' load reports.
     pub report_lag: Duration,
-    /// How often refused callers come back.
+    /// Greatest number of retries of a refused request.
     pub retries: u32,
-    /// What goes wrong halfway.
+    /// Faults at the middle of the measured period.
     pub faults: Faults,
-    /// Further lines of every host's settings.
+    /// Additional lines for the settings of every host.
     pub settings: String,
-    /// Filter of the hosts' logs.
+    /// Log filter of the hosts.
     pub log: String,
 }
 
@@ -82,10 +83,10 @@
     }
 }
 
-/// Makes a run and gives its figures.
+/// Makes a run and returns its report.
 ///
 /// # Errors
-/// When the fleet does not start.
+/// When the rules of the mix are invalid or the fleet does not start.
 pub async fn run(cfg: &LoadConfig) -> Result<Report, AnyError> {
     let rules = jaypin_rules::parse(&cfg.mix.rules).map_err(|mistakes| format!("{mistakes:?}"))?;
     let engines = unlike_engines(cfg.engines, cfg.report_lag);
@@ -103,24 +104,24 @@
     .await?;
     let length = cfg.warmup + cfg.duration + cfg.cooldown;
     let arrivals = plan(&cfg.mix, capacity * cfg.load, length, cfg.seed);
-    let measured = drive(cfg, &mut fleet, &rules, arrivals).await?;
-    Ok(figures(cfg, &fleet, &rules, capacity, &measured))
+    let measured = run_load(cfg, &mut fleet, &rules, arrivals).await?;
+    Ok(build_report(cfg, &fleet, &rules, capacity, &measured))
 }
 
-/// What a run gave.
-struct Measured {
+/// Raw measurements of a run.
+struct RunResults {
     samples: Vec<Sample>,
     start_delays: Vec<Duration>,
     struck: Vec<String>,
     costs: Vec<HostCost>,
 }
 
-async fn drive(
+async fn run_load(
     cfg: &LoadConfig,
     fleet: &mut Fleet,
     rules: &RuleSet,
     arrivals: Vec<Arrival>,
-) -> Result<Measured, AnyError> {
+) -> Result<RunResults, AnyError> {
     let (entry_tx, entry) = watch::channel(Arc::new(Entry::default()));
     refresh_entry(fleet, &cfg.mix, &entry_tx).await;
     let callers = Arc::new(Callers {
@@ -131,7 +132,7 @@
         seed: cfg.seed,
     });
     let start = Instant::now();
-    let mut calls = tokio::spawn(arrive(
+    let mut calls = tokio::spawn(start_arrivals(
         callers,
         arrivals,
         start,
@@ -140,21 +141,21 @@
     sleep_until(start + cfg.warmup).await;
     let before = cpu_times(fleet);
     sleep_until(start + cfg.warmup + cfg.duration / 2).await;
-    let struck = cfg.faults.strike(fleet).await;
+    let struck = cfg.faults.inject(fleet).await;
     refresh_entry(fleet, &cfg.mix, &entry_tx).await;
     while start.elapsed() < cfg.warmup + cfg.duration {
         let end = start + cfg.warmup + cfg.duration;
-        sleep_until(end.min(Instant::now() + ENTRY_PAUSE)).await;
+        sleep_until(end.min(Instant::now() + ENTRY_REFRESH_INTERVAL)).await;
         refresh_entry(fleet, &cfg.mix, &entry_tx).await;
     }
     let costs = costs(fleet, &before, start.elapsed().saturating_sub(cfg.warmup));
     let (samples, start_delays) = loop {
         tokio::select! {
             ended = &mut calls => break ended?,
-            () = sleep(PROGRESS_PAUSE) => eprintln!("  waiting for the last answers, {:.0?}", start.elapsed()),
+            () = sleep(PROGRESS_INTERVAL) => eprintln!("  waiting for the last answers, {:.0?}", start.elapsed()),
         }
     };
-    Ok(Measured {
+    Ok(RunResults {
         samples,
         start_delays,
         struck,
@@ -162,8 +163,9 @@
     })
 }
 
-/// Starts every request at its time, whatever became of earlier ones.
-async fn arrive(
+/// Starts every request at its planned time, independently of earlier ones; returns the
+/// samples and the delay of each start.
+async fn start_arrivals(
     callers: Arc<Callers>,
     arrivals: Vec<Arrival>,
     start: Instant,
@@ -176,18 +178,18 @@
         delays.push(start.elapsed().saturating_sub(arrival.at));
         let callers = callers.clone();
         let measured = window.contains(&arrival.at);
-        running.spawn(async move { make(&callers, arrival, measured).await });
+        running.spawn(async move { perform_request(&callers, arrival, measured).await });
     }
     (running.join_all().await, delays)
 }
 
-/// Asks the first host that answers which hosts to use.
+/// Fetches the entry addresses from the first host that answers.
 async fn refresh_entry(fleet: &Fleet, mix: &Mix, entry: &watch::Sender<Arc<Entry>>) {
     for host in fleet.hosts.iter().filter(|host| host.pid().is_some()) {
         let credential = format!("{}-secret", mix.accounts[0].name);
         let client = Client::new(host.address, &credential);
         let call = client.call(Method::GET, "/v1/entry", &[], bytes::Bytes::new());
-        let Ok(Ok(answer)) = tokio::time::timeout(ENTRY_PAUSE, call).await else {
+        let Ok(Ok(answer)) = tokio::time::timeout(ENTRY_REFRESH_INTERVAL, call).await else {
             continue;
         };
         let body = answer.json();
@@ -212,7 +214,7 @@
     pids.map(|pid| cpu_time(pid?)).collect()
 }
 
-fn costs(fleet: &Fleet, before: &[Option<Duration>], over: Duration) -> Vec<HostCost> {
+fn costs(fleet: &Fleet, before: &[Option<Duration>], period: Duration) -> Vec<HostCost> {
     let pairs = fleet.hosts.iter().zip(before);
     pairs
         .filter_map(|(host, before)| {
@@ -221,7 +223,7 @@
             let (now, peak) = resident_kib(pid)?;
             Some(HostCost {
                 host: host.id.clone(),
-                cores: used.as_secs_f64() / over.as_secs_f64(),
+                cores: used.as_secs_f64() / period.as_secs_f64(),
                 resident_mib: mib(now),
                 peak_resident_mib: mib(peak),
             })
@@ -237,12 +239,12 @@
     kib as f64 / 1_024.0
 }
 
-fn figures(
+fn build_report(
     cfg: &LoadConfig,
     fleet: &Fleet,
     rules: &RuleSet,
     capacity: f64,
-    measured: &Measured,
+    measured: &RunResults,
 ) -> Report {
     let samples = &measured.samples;
     let executions: Vec<Execution> = fleet
@@ -252,7 +254,7 @@
         .collect();
     let tiers = by_tier(samples, rules);
     let lowest = tiers.last().map(|tier| tier.tier.clone());
-    let prompt = samples
+    let interactive = samples
         .iter()
         .filter(|sample| sample.measured && Some(&sample.tier) != lowest.as_ref());
     let (failed, recomputed, cached) = prefill(samples, &executions);
@@ -275,8 +277,8 @@
         wasted_on_failed: failed,
         wasted_on_recomputed: recomputed,
         cached,
-        first_token_ms: Percentiles::of(prompt.clone().filter_map(|one| one.first_token)),
-        gap_ms: Percentiles::of(prompt.filter_map(|one| one.gap)),
+        first_token_ms: Percentiles::of(interactive.clone().filter_map(|one| one.first_token)),
+        gap_ms: Percentiles::of(interactive.filter_map(|one| one.gap)),
         refusals: refusals(samples),
         refusal_ms: refusal_times(samples),
         platform: fleet.platform.calls(),
--- a/crates/jaypin_bench/src/load/usage.rs
+++ b/crates/jaypin_bench/src/load/usage.rs
@@ -1,15 +1,15 @@
-//! What host processes use: processor time and memory, read from `/proc`.
+//! Processor time and memory of processes, read from `/proc`.
 
 use std::time::Duration;
 
-/// Clock ticks a second in `/proc/PID/stat`; the kernel shows 100 to every program.
+/// Clock ticks per second in `/proc/PID/stat`; the kernel always reports 100 to programs.
 const TICKS_PER_SECOND: u64 = 100;
 
-/// Processor time that a process has used.
+/// Returns the user and system time of a process; none when it has exited.
 #[must_use]
 pub fn cpu_time(pid: u32) -> Option<Duration> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The program's name, in parentheses, may hold blanks; fields count from behind it.
+    // The program name, in parentheses, may contain spaces, so fields are counted after it.
     let fields: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
     let user: u64 = fields.get(11)?.parse().ok()?;
     let system: u64 = fields.get(12)?.parse().ok()?;
@@ -18,7 +18,7 @@
     ))
 }
 
-/// Resident memory of a process in KiB: now, and the most it ever was.
+/// Returns the current and the peak resident memory of a process, in KiB.
 #[must_use]
 pub fn resident_kib(pid: u32) -> Option<(u64, u64)> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
