--- a/crates/jaypin_bench/src/cli.rs
+++ b/crates/jaypin_bench/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line.
 
 use std::time::Duration;
 
@@ -6,68 +6,68 @@
 use jaypin_bench::torture::TortureConfig;
 use lexopt::prelude::*;
 
-/// What `--help` prints.
+/// Text that `--help` prints.
 pub const USAGE: &str = "\
 usage: jaypin-bench demo
          Runs an engine, an application worker and three hosts as separate processes,
-         streams a request through each host, and ends by itself.
+         streams a request through each host, then exits.
        jaypin-bench load [OPTIONS]
          Makes one run and prints its figures.
        jaypin-bench compare --policies P,P --loads L,L --seeds S,S [OPTIONS]
          Makes a run for each load, seed and policy and prints one table.
        jaypin-bench plot FILE.json --out FILE.svg
-         Draws what `compare --json` wrote.
+         Plots the output of `compare --json`.
        jaypin-bench check FILE
-         Checks a history, as torture writes it, against every promise.
+         Checks a history written by `torture` against every promise.
        jaypin-bench torture --seed N --minutes M --hosts H [--callers N] [--history FILE]
-         Makes faults while callers ask, and checks the history against every promise.
+         Injects faults under load and checks the history against every promise.
        jaypin-bench streams [--count N]
-         Runs N streams through one host at once, beside direct ones, and times calls.
+         Runs N concurrent streams through one host and some directly, and times calls.
 options of a run:
-  --mix lanyang|hanbit     what callers ask for (lanyang)
+  --mix lanyang|hanbit     request mix (lanyang)
   --policy NAME            grants, local or baseline (grants)
   --load FACTOR            load over the engines' capacity (1.0)
   --hosts N --engines N --apps N   sizes (13, 20, 3)
   --duration S --warmup S --cooldown S   measured, before, after (20, 5, 5)
   --seed N                 seed of the arrivals (1)
   --report-lag-ms N        age of load reports (1000)
-  --retries N              how often a refused caller comes back (0)
-  --slow-engine FACTOR --kill-host --kill-scheduler   what goes wrong halfway
-  --settings LINE          a further line of every host's settings
+  --retries N              retries of a refused request (0)
+  --slow-engine FACTOR --kill-host --kill-scheduler   faults halfway through a run
+  --settings LINE          an additional line for every host's settings
   --log FILTER             filter of the hosts' logs (error)
   --json FILE              also write the figures as JSON";
 
-/// What was asked for.
+/// Parsed command line.
 #[derive(Debug, Default)]
 pub struct Args {
-    /// The command; empty for help.
+    /// Name of the command; empty for help.
     pub command: String,
-    /// Streams through one host.
+    /// Number of concurrent streams, for `streams`.
     pub count: usize,
-    /// Minutes of faults.
+    /// Length of a `torture` run, in minutes.
     pub minutes: f64,
-    /// Callers under faults.
+    /// Number of callers, for `torture`.
     pub callers: usize,
-    /// File for the history.
+    /// Output file for the history of a `torture` run.
     pub history: Option<String>,
-    /// File that a command works on.
+    /// Input file of `plot` and `check`.
     pub file: Option<String>,
-    /// What a run is like.
+    /// Configuration of a load run.
     pub load: LoadConfig,
-    /// Policies to compare.
+    /// Policies, for `compare`.
     pub policies: Vec<String>,
-    /// Loads to compare at.
+    /// Load factors, for `compare`.
     pub loads: Vec<f64>,
-    /// Seeds to compare with.
+    /// Seeds, for `compare`.
     pub seeds: Vec<u64>,
-    /// File for the figures.
+    /// Output file for the report as JSON.
     pub json: Option<String>,
-    /// File for a picture.
+    /// Output file of `plot`.
     pub out: Option<String>,
 }
 
 impl Args {
-    /// What a run under faults is like.
+    /// Returns the configuration of a `torture` run.
     pub fn torture(&self) -> TortureConfig {
         TortureConfig {
             seed: self.load.seed,
@@ -79,7 +79,7 @@
     }
 }
 
-/// Reads the command line.
+/// Parses the arguments of the process.
 pub fn parse() -> Result<Args, lexopt::Error> {
     let mut args = Args {
         policies: vec!["grants".to_owned(), "baseline".to_owned()],
--- a/crates/jaypin_bench/src/command.rs
+++ b/crates/jaypin_bench/src/command.rs
@@ -1,21 +1,21 @@
-//! The command line of `jaypin`, as operators use it.
+//! Runs the `jaypin` program as operators do.
 
 use std::process::Command;
 
 use crate::binary;
 
-/// What a command gave.
+/// Exit code and output of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CommandOutput {
-    /// Exit code; none when a signal ended it.
+    /// Exit code; none when a signal terminated the process.
     pub code: Option<i32>,
-    /// What it printed.
+    /// Standard output.
     pub stdout: String,
-    /// What it said beside.
+    /// Standard error.
     pub stderr: String,
 }
 
-/// Runs `jaypin` to its end, with an operators' token when there is one.
+/// Runs `jaypin` until it exits, with the operator token if one is given.
 ///
 /// # Panics
 /// When the program was not built or can't be started.
@@ -25,7 +25,7 @@
     if let Some(token) = token {
         command.env("JAYPIN_OPERATOR_TOKEN", token);
     }
-    // Not on the runtime's own thread: the stand-ins that it talks to run there.
+    // The command blocks, and the stand-ins that it connects to run on the runtime's thread.
     let output = tokio::task::spawn_blocking(move || command.output());
     let output = output.await.expect("no panic").expect("it runs");
     CommandOutput {
--- a/crates/jaypin_bench/src/demo.rs
+++ b/crates/jaypin_bench/src/demo.rs
@@ -1,4 +1,5 @@
-//! The demonstration: every part as a process of its own, one request through each host.
+//! Demonstration: runs each component as a separate process and sends requests through
+//! each host.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
@@ -10,7 +11,7 @@
 
 type AnyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A stand-in as a process of its own; ended when dropped.
+/// A stand-in that runs as a separate process, which is killed on drop.
 struct Standin {
     child: Child,
     address: std::net::SocketAddr,
@@ -23,7 +24,10 @@
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .spawn()?;
-        let stdout = child.stdout.take().ok_or("no output")?;
+        let stdout = child
+            .stdout
+            .take()
+            .ok_or("the stand-in has no standard output")?;
         let mut line = String::new();
         BufReader::new(stdout).read_line(&mut line)?;
         let address = line.trim().rsplit(' ').next().unwrap_or_default().parse()?;
@@ -39,11 +43,11 @@
     }
 }
 
-/// Runs an engine, an application worker and three hosts, streams a request through each
-/// host, and ends by itself.
+/// Runs an engine, an application worker and three hosts, sends a streamed request and
+/// a plain call through each host, and shuts the hosts down.
 ///
 /// # Errors
-/// When something does not start or an answer is not the expected one.
+/// When a process does not start or a streamed answer differs from the expected one.
 pub async fn demo() -> Result<(), AnyError> {
     let engine = Standin::start(&["engine"])?;
     let app = Standin::start(&["app"])?;
--- a/crates/jaypin_bench/src/main.rs
+++ b/crates/jaypin_bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `jaypin-bench`: demonstration, load and experiments.
+//! `jaypin-bench`: demonstration, load generator, fault injection and history checker.
 
 mod cli;
 
@@ -11,12 +11,12 @@
     let args = cli::parse()?;
     match args.command.as_str() {
         "demo" => demo().await,
-        "load" => one_run(&args).await,
+        "load" => run_load(&args).await,
         "compare" => compare(&args).await,
-        "plot" => draw(&args),
+        "plot" => draw_plot(&args),
         "check" => check(&args),
-        "streams" => many_streams(&args).await,
-        "torture" => under_faults(&args).await,
+        "streams" => run_streams(&args).await,
+        "torture" => run_torture(&args).await,
         _ => {
             println!("{}", cli::USAGE);
             Ok(())
@@ -24,28 +24,28 @@
     }
 }
 
-async fn one_run(args: &cli::Args) -> Result<(), AnyError> {
+async fn run_load(args: &cli::Args) -> Result<(), AnyError> {
     let report = load::run(&args.load).await?;
     print!("{}", report.table());
-    write(args, &serde_json::to_value(&report)?)
+    write_json(args, &serde_json::to_value(&report)?)
 }
 
 async fn compare(args: &cli::Args) -> Result<(), AnyError> {
     let reports = load::compare(&args.load, &args.policies, &args.loads, &args.seeds).await?;
     print!("{}", load::comparison_table(&reports));
-    write(args, &serde_json::to_value(&reports)?)
+    write_json(args, &serde_json::to_value(&reports)?)
 }
 
-async fn many_streams(args: &cli::Args) -> Result<(), AnyError> {
+async fn run_streams(args: &cli::Args) -> Result<(), AnyError> {
     let report = streams(args.count).await?;
     print!("{}", report.table());
-    write(args, &serde_json::to_value(&report)?)
+    write_json(args, &serde_json::to_value(&report)?)
 }
 
-async fn under_faults(args: &cli::Args) -> Result<(), AnyError> {
+async fn run_torture(args: &cli::Args) -> Result<(), AnyError> {
     let report = torture::torture(&args.torture()).await?;
     print!("{}", report.table());
-    write(args, &serde_json::to_value(&report)?)?;
+    write_json(args, &serde_json::to_value(&report)?)?;
     if let Some(path) = &args.history {
         std::fs::write(path, serde_json::to_string(&report.history)?)?;
     }
@@ -57,7 +57,10 @@
 }
 
 fn check(args: &cli::Args) -> Result<(), AnyError> {
-    let file = args.file.as_deref().ok_or("a history's file is missing")?;
+    let file = args
+        .file
+        .as_deref()
+        .ok_or("the history file argument is missing")?;
     let history = serde_json::from_str(&std::fs::read_to_string(file)?)?;
     let outcome = history::check(&history);
     println!("{}", serde_json::to_string_pretty(&outcome)?);
@@ -68,14 +71,14 @@
     }
 }
 
-fn write(args: &cli::Args, value: &serde_json::Value) -> Result<(), AnyError> {
+fn write_json(args: &cli::Args, value: &serde_json::Value) -> Result<(), AnyError> {
     if let Some(path) = &args.json {
         std::fs::write(path, serde_json::to_string_pretty(value)?)?;
     }
     Ok(())
 }
 
-fn draw(args: &cli::Args) -> Result<(), AnyError> {
+fn draw_plot(args: &cli::Args) -> Result<(), AnyError> {
     let input = args
         .file
         .as_deref()
--- a/crates/jaypin_bench/src/plot.rs
+++ b/crates/jaypin_bench/src/plot.rs
@@ -1,4 +1,4 @@
-//! Pictures of a comparison: goodput weighted by tier and wasted prefill over the load.
+//! Plots a comparison: weighted goodput and wasted prefill as functions of the load.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +7,31 @@
 
 type AnyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Width and height of the picture, in pixels.
+/// Width and height of the image, in pixels.
 const SIZE: (u32, u32) = (960, 420);
 /// Margin around each diagram, in pixels.
 const MARGIN: u32 = 12;
-/// Room for the labels of an axis, in pixels.
+/// Space for the labels of an axis, in pixels.
 const LABELS: u32 = 40;
 
-/// The part of a run's figures that is drawn.
+/// The fields of a run's report that are plotted.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Run {
-    /// Policy of the hosts.
+    /// Scheduling policy of the hosts.
     pub policy: String,
-    /// Load over the engines' capacity.
+    /// Offered load as a multiple of the engines' capacity.
     pub load: f64,
     /// Goodput weighted by tier, 0 to 1.
     pub weighted_goodput: f64,
-    /// Wasted over all prefill tokens, 0 to 1.
+    /// Ratio of wasted to all prefill tokens, 0 to 1.
     pub wasted_prefill: f64,
 }
 
-/// Draws the runs of `compare --json` as SVG: one line a policy through the means over
-/// seeds, one dot a run.
+/// Plots the runs of `compare --json` as SVG: one line per policy through the means over
+/// seeds, and one dot per run.
 ///
 /// # Errors
-/// When there is no run, or the picture can't be drawn.
+/// When there is no run, or the image can't be drawn.
 pub fn plot(runs: &[Run]) -> Result<String, AnyError> {
     if runs.is_empty() {
         return Err("no runs to draw".into());
@@ -43,18 +43,18 @@
         let halves = area.split_evenly((1, 2));
         let goodput = |run: &Run| run.weighted_goodput;
         let wasted = |run: &Run| run.wasted_prefill;
-        diagram(&halves[0], "goodput weighted by tier", runs, goodput)?;
-        diagram(&halves[1], "wasted prefill", runs, wasted)?;
+        draw_diagram(&halves[0], "goodput weighted by tier", runs, goodput)?;
+        draw_diagram(&halves[1], "wasted prefill", runs, wasted)?;
         area.present()?;
     }
     Ok(svg)
 }
 
-fn diagram(
+fn draw_diagram(
     area: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
     title: &str,
     runs: &[Run],
-    figure: impl Fn(&Run) -> f64,
+    metric: impl Fn(&Run) -> f64,
 ) -> Result<(), AnyError> {
     let most = runs.iter().map(|run| run.load).fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(area)
@@ -64,7 +64,7 @@
         .y_label_area_size(LABELS)
         .build_cartesian_2d(0.0..most * 1.05, 0.0..1.0)?;
     chart.configure_mesh().x_desc("load over capacity").draw()?;
-    for (index, (policy, points)) in by_policy(runs, &figure).into_iter().enumerate() {
+    for (index, (policy, points)) in by_policy(runs, &metric).into_iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
         chart
             .draw_series(LineSeries::new(means(&points), color.stroke_width(2)))?
@@ -83,12 +83,12 @@
     Ok(())
 }
 
-fn by_policy(runs: &[Run], figure: impl Fn(&Run) -> f64) -> BTreeMap<&str, Vec<(f64, f64)>> {
+fn by_policy(runs: &[Run], metric: impl Fn(&Run) -> f64) -> BTreeMap<&str, Vec<(f64, f64)>> {
     let mut all: BTreeMap<&str, Vec<(f64, f64)>> = BTreeMap::new();
     for run in runs {
         all.entry(&run.policy)
             .or_default()
-            .push((run.load, figure(run)));
+            .push((run.load, metric(run)));
     }
     for points in all.values_mut() {
         points.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -96,7 +96,7 @@
     all
 }
 
-/// Joins the points of one load to their mean; the points are in order of load.
+/// Returns the mean for each load; the points must be sorted by load.
 fn means(points: &[(f64, f64)]) -> Vec<(f64, f64)> {
     points
         .chunk_by(|a, b| a.0.total_cmp(&b.0).is_eq())
--- a/crates/jaypin_bench/src/streams.rs
+++ b/crates/jaypin_bench/src/streams.rs
@@ -1,4 +1,5 @@
-//! Many streams through one host at once, and what the host adds to a call.
+//! Runs many concurrent streams through one host and measures the latency that the host
+//! adds to a call.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -15,44 +16,44 @@
 
 type AnyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Time between tokens of the engine, however many streams run.
+/// Time between the tokens of an engine, independent of the number of streams.
 const GAP: Duration = Duration::from_millis(50);
-/// Engines that share the streams.
+/// Number of engines that share the streams.
 const ENGINES: usize = 10;
 /// Tokens of each stream.
 const TOKENS: u64 = 200;
-/// Streams that go to the engine directly, one for so many through the host.
+/// Number of streams through the host for each stream that goes directly to an engine.
 const DIRECT_SHARE: usize = 10;
-/// Calls of each kind that are timed one after the other.
+/// Number of calls of each kind that are timed sequentially.
 const TIMED_CALLS: usize = 300;
-/// Time over which streams are started, so that the host's first estimates settle.
+/// Time over which the streams are started, so that the host's initial estimates converge.
 const RAMP: Duration = Duration::from_secs(3);
 
-/// Streams under way; each gives its answer if it is whole, or what became of it.
+/// Running streams; each returns its whole answer or a description of its failure.
 type Streams = JoinSet<Result<Answer, String>>;
 
-/// What a run gave.
+/// Results of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct StreamsReport {
-    /// Streams through the host.
+    /// Number of streams through the host.
     pub count: usize,
-    /// Of them, whole and right.
+    /// Streams through the host with the whole expected answer.
     pub whole: usize,
-    /// The others, by what became of them.
+    /// Number of the other streams through the host, by failure.
     pub failed: BTreeMap<String, usize>,
-    /// Direct streams that were whole and right, of a tenth as many.
+    /// Direct streams with the whole expected answer, out of a tenth of `count`.
     pub direct_whole: usize,
-    /// Most resident memory of the host, in MiB.
+    /// Peak resident memory of the host, in MiB.
     pub peak_resident_mib: f64,
     /// Resident memory of the host before the streams, in MiB.
     pub idle_resident_mib: f64,
-    /// Each time between two tokens, through the host.
+    /// Times between two tokens, through the host.
     pub gap_ms: Percentiles,
-    /// Each time between two tokens, directly.
+    /// Times between two tokens, for direct streams.
     pub direct_gap_ms: Percentiles,
-    /// Short calls through the host, one after the other.
+    /// Durations of short sequential calls through the host.
     pub call_ms: Percentiles,
-    /// The same calls directly, in turns with the others.
+    /// Durations of the same calls made directly, alternating with those through the host.
     pub direct_call_ms: Percentiles,
 }
 
@@ -72,9 +73,9 @@
     let fleet = Fleet::start(FleetConfig {
         hosts: 1,
         engines: vec![engine; ENGINES],
-        // What is measured is the way of a stream through the host. Grants would let
-        // streams onto engines that are new to the scheduler only step by step, so that
-        // few would run at once.
+        // The `grants` policy increases the number of streams on engines that are new to
+        // the scheduler only step by step, so few would run concurrently. The run measures
+        // the path of a stream through the host, so it uses `baseline`.
         settings: "policy: baseline\n".to_owned(),
         ..FleetConfig::default()
     })
@@ -84,9 +85,9 @@
     let engines: Vec<SocketAddr> = fleet.engines.iter().map(|one| one.address).collect();
     let (call, direct_call) = timed_calls(host.address, engines[0]).await;
     let idle = resident_kib(pid).map_or(0, |(now, _)| now);
-    let through = start(&[host.address], count, "host");
-    let direct = start(&engines, count.div_ceil(DIRECT_SHARE), "direct");
-    let (answers, failed) = collect(through).await;
+    let via_host = start_streams(&[host.address], count, "host");
+    let direct = start_streams(&engines, count.div_ceil(DIRECT_SHARE), "direct");
+    let (answers, failed) = collect(via_host).await;
     let (direct_answers, _) = collect(direct).await;
     let peak = resident_kib(pid).map_or(0, |(_, peak)| peak);
     Ok(StreamsReport {
@@ -103,7 +104,7 @@
     })
 }
 
-/// Times short calls through the host and directly, in turns.
+/// Times short calls, alternating between the host and a direct connection.
 async fn timed_calls(host: SocketAddr, engine: SocketAddr) -> (Vec<Duration>, Vec<Duration>) {
     let mut times = [Vec::new(), Vec::new()];
     for index in 0..TIMED_CALLS {
@@ -118,12 +119,12 @@
             }
         }
     }
-    let [through, direct] = times;
-    (through, direct)
+    let [via_host, direct] = times;
+    (via_host, direct)
 }
 
-/// Starts streams one by one over the ramp; each gives its answer if it is whole.
-fn start(addresses: &[SocketAddr], count: usize, name: &str) -> Streams {
+/// Starts the streams evenly over the ramp; each returns its whole answer or its failure.
+fn start_streams(addresses: &[SocketAddr], count: usize, name: &str) -> Streams {
     let mut streams = JoinSet::new();
     for index in 0..count {
         let address = addresses[index % addresses.len()];
@@ -147,7 +148,7 @@
     streams
 }
 
-/// Whole answers, and the counts of what became of the others.
+/// Waits for all streams; returns the whole answers and the number of failures by kind.
 async fn collect(streams: Streams) -> (Vec<Answer>, BTreeMap<String, usize>) {
     let mut answers = Vec::new();
     let mut failed = BTreeMap::new();
@@ -174,7 +175,7 @@
 }
 
 impl StreamsReport {
-    /// The figures as a table.
+    /// Formats the report as a table.
     #[must_use]
     pub fn table(&self) -> String {
         let mut out = String::new();
@@ -188,7 +189,7 @@
             "host memory {:.1} MiB before, {:.1} MiB at most",
             self.idle_resident_mib, self.peak_resident_mib
         );
-        for (name, through, direct) in [
+        for (name, via_host, direct) in [
             ("gap", &self.gap_ms, &self.direct_gap_ms),
             ("call", &self.call_ms, &self.direct_call_ms),
         ] {
@@ -196,16 +197,16 @@
                 out,
                 "{name}: through the host p50 {:.2} p95 {:.2} p99 {:.2} ms ({}), directly \
                  p50 {:.2} p95 {:.2} p99 {:.2} ms ({}), added p50 {:.2} p99 {:.2} ms",
-                through.p50,
-                through.p95,
-                through.p99,
-                through.count,
+                via_host.p50,
+                via_host.p95,
+                via_host.p99,
+                via_host.count,
                 direct.p50,
                 direct.p95,
                 direct.p99,
                 direct.count,
-                through.p50 - direct.p50,
-                through.p99 - direct.p99
+                via_host.p50 - direct.p50,
+                via_host.p99 - direct.p99
             );
         }
         out
