--- a/crates/jaypin_bench/src/history/check.rs
+++ b/crates/jaypin_bench/src/history/check.rs
@@ -13,7 +13,7 @@
 pub enum Promise {
     /// A request is dispatched at most once.
     DispatchedOnce,
-    /// A call that may not be repeated runs at most once for its key.
+    /// A call that must not be repeated runs at most once for its key.
     KeyRunsOnce,
     /// A caller gets the whole answer to its own request, or a marked end.
     OwnWholeAnswer,
--- a/crates/jaypin_bench/src/load/mix.rs
+++ b/crates/jaypin_bench/src/load/mix.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Mean number of tokens.
+    /// Returns the mean number of tokens.
     #[must_use]
     pub fn mean(self) -> f64 {
         (self.greatest - self.least) / (self.greatest / self.least).ln()
--- a/crates/jaypin_bench/src/streams.rs
+++ b/crates/jaypin_bench/src/streams.rs
@@ -20,7 +20,7 @@
 const GAP: Duration = Duration::from_millis(50);
 /// Number of engines that share the streams.
 const ENGINES: usize = 10;
-/// Tokens of each stream.
+/// Number of tokens in each stream.
 const TOKENS: u64 = 200;
 /// Number of streams through the host for each stream that goes directly to an engine.
 const DIRECT_SHARE: usize = 10;
@@ -57,7 +57,7 @@
     pub direct_call_ms: Percentiles,
 }
 
-/// Makes a run with one host and a few engines.
+/// Makes a run with one host and ten engines and returns the report.
 ///
 /// # Errors
 /// When the fleet does not start.
