--- a/crates/jaypin_bench/tests/at_most_once.rs
+++ b/crates/jaypin_bench/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A call that may not be repeated runs at most once, whatever fails.
+//! A call that must not be repeated runs at most once under every kind of failure.
 
 mod support;
 
@@ -8,20 +8,20 @@
 use jaypin_bench::Client;
 use jaypin_standin::{Proxy, ProxyMode};
 use support::{
-    WAIT, app, fleet, key_from, keyed, open_gate, repeat_until, spec, start_gate, until, words,
-    yilan,
+    WAIT, app, fleet, key_from, keyed, open_gate, reason_and_outcome, repeat_until, spec,
+    start_gate, until, yilan,
 };
 
-/// Longer than any test: the call is still running when its host dies.
-const NEVER_ENDS: Duration = Duration::from_mins(10);
+/// Work time longer than any test, so that the call still runs when its host is killed.
+const UNFINISHED_WORK: Duration = Duration::from_mins(10);
 
-/// A farmer opens a gate, the entry host dies before it answers, and the farmer's
-/// program repeats the call at each other host. The gate service took the first call;
-/// a second run would open the gate twice. The cause: the claim's holder died with the
-/// knowledge of what became of the call.
+/// The entry host is killed after it dispatched a call and before it responds; the caller
+/// repeats the call at each other host. The service has received the first call, so a second
+/// run would open the gate twice. The outcome of the call was known only to the host that
+/// held the claim, so the other hosts must respond that it is unknown.
 #[tokio::test]
 async fn a_host_killed_between_dispatch_and_answer() {
-    let app = app(NEVER_ENDS).await;
+    let app = app(UNFINISHED_WORK).await;
     let mut fleet = fleet(vec![spec("app-0", app.address, "robots")]).await;
     let key = key_from(&fleet.hosts[1], "gate").await;
     let first = yilan(fleet.hosts[0].address);
@@ -30,19 +30,19 @@
     fleet.hosts[0].kill();
     assert!(call.await.expect("no panic").is_none());
     for host in &fleet.hosts[1..] {
-        let unknown = |answer: &jaypin_bench::Answer| words(answer).0 == "key-unknown";
+        let unknown = |answer: &jaypin_bench::Answer| reason_and_outcome(answer).0 == "key-unknown";
         let answer = repeat_until(&yilan(host.address), &key, unknown).await;
         assert_eq!(answer.status, StatusCode::CONFLICT);
-        assert_eq!(words(&answer).1, "unknown");
+        assert_eq!(reason_and_outcome(&answer).1, "unknown");
     }
     assert_eq!(app.calls().len(), 1, "{:?}", app.calls());
 }
 
-/// The same, but the host that dies also owns the key, and comes back as a new
-/// incarnation that knows nothing of it.
+/// The killed entry host also owns the key, and restarts as a new incarnation that has no
+/// record of it. A host that treated the key as unused would run the call again.
 #[tokio::test]
 async fn a_key_owner_killed_and_restarted() {
-    let app = app(NEVER_ENDS).await;
+    let app = app(UNFINISHED_WORK).await;
     let mut fleet = fleet(vec![spec("app-0", app.address, "robots")]).await;
     let key = key_from(&fleet.hosts[0], "gate").await;
     let first = yilan(fleet.hosts[0].address);
@@ -54,7 +54,10 @@
         let answer = open_gate(&yilan(host.address), &key)
             .await
             .expect("an answer");
-        assert_eq!(words(&answer), ("key-unknown".into(), "unknown".into()));
+        assert_eq!(
+            reason_and_outcome(&answer),
+            ("key-unknown".into(), "unknown".into())
+        );
     }
     fleet.hosts[0].start().expect("a host process");
     fleet.hosts[0].wait_ready().await.expect("a ready host");
@@ -62,17 +65,20 @@
         let answer = open_gate(&yilan(host.address), &key)
             .await
             .expect("an answer");
-        assert_eq!(words(&answer), ("key-unknown".into(), "unknown".into()));
+        assert_eq!(
+            reason_and_outcome(&answer),
+            ("key-unknown".into(), "unknown".into())
+        );
     }
     assert_eq!(app.calls().len(), 1, "{:?}", app.calls());
 }
 
-/// The key's owner is paused longer than every timeout, two other hosts ask it to
-/// claim the same key meanwhile, and it wakes up with both claims in its sockets. If
-/// either host had gone on without it, or the late grants were used, the gate would
-/// open twice.
+/// The key's owner is paused for longer than every timeout. Two other hosts meanwhile request
+/// a claim on the same key, and the owner finds both requests in its sockets when it resumes.
+/// The call would run twice if either host continued without the owner, or if the late
+/// grants were used.
 #[tokio::test]
-async fn a_key_owner_frozen_past_every_timeout_and_thawed() {
+async fn a_key_owner_frozen_past_every_timeout_and_resumed() {
     let app = app(Duration::from_millis(20)).await;
     let fleet = fleet(vec![spec("app-0", app.address, "robots")]).await;
     let key = key_from(&fleet.hosts[1], "gate").await;
@@ -81,11 +87,15 @@
     let (left, right) = tokio::join!(open_gate(&clients[0], &key), open_gate(&clients[1], &key));
     for answer in [left, right] {
         let answer = answer.expect("an answer");
-        assert_eq!(words(&answer), ("key-unknown".into(), "unknown".into()));
+        assert_eq!(
+            reason_and_outcome(&answer),
+            ("key-unknown".into(), "unknown".into())
+        );
     }
     assert!(app.calls().is_empty());
     fleet.hosts[1].signal("CONT");
-    // Nothing ran, and the hosts that gave up said so: the key can still be used, once.
+    // Nothing ran, and the hosts that timed out withdrew their claims, so the key can
+    // still be used once.
     let ran = |answer: &jaypin_bench::Answer| answer.status == StatusCode::OK;
     for index in [0, 1, 2] {
         repeat_until(&yilan(fleet.hosts[index].address), &key, ran).await;
@@ -93,10 +103,11 @@
     assert_eq!(app.calls().len(), 1, "{:?}", app.calls());
 }
 
-/// The host that holds the claim is paused while its call runs. Another host asks for
-/// the same key meanwhile; then the first wakes up and answers its caller.
+/// The host that holds the claim is paused while its call runs. Another host requests the
+/// same key meanwhile and must not run the call; then the first host resumes and responds
+/// to its caller.
 #[tokio::test]
-async fn a_claim_holder_frozen_and_thawed() {
+async fn a_claim_holder_frozen_and_resumed() {
     let app = app(Duration::from_millis(300)).await;
     let fleet = fleet(vec![spec("app-0", app.address, "robots")]).await;
     let key = key_from(&fleet.hosts[1], "gate").await;
@@ -105,7 +116,7 @@
     until("the call runs", || !app.calls().is_empty()).await;
     fleet.hosts[0].signal("STOP");
     let other = yilan(fleet.hosts[2].address);
-    let not_run = |answer: &jaypin_bench::Answer| words(answer).0 == "key-unknown";
+    let not_run = |answer: &jaypin_bench::Answer| reason_and_outcome(answer).0 == "key-unknown";
     repeat_until(&other, &key, not_run).await;
     fleet.hosts[0].signal("CONT");
     let answer = call.await.expect("no panic").expect("an answer");
@@ -116,10 +127,10 @@
     assert_eq!(app.calls().len(), 1, "{:?}", app.calls());
 }
 
-/// The call runs and is answered, but the answer never reaches the caller: something on
-/// the way drops it. The caller gives up and repeats the key at another host.
+/// The call runs, but its response is dropped by the network. The caller times out and
+/// repeats the key at another host, which must replay the stored response.
 #[tokio::test]
-async fn an_answer_lost_on_its_way_is_given_again() {
+async fn a_response_lost_in_transit_is_replayed() {
     let app = app(Duration::from_millis(20)).await;
     let fleet = fleet(vec![spec("app-0", app.address, "robots")]).await;
     let key = key_from(&fleet.hosts[1], "gate").await;
@@ -138,9 +149,10 @@
     assert_eq!(app.calls().len(), 1, "{:?}", app.calls());
 }
 
-/// The caller leaves while its call runs; its program repeats the key.
+/// The caller disconnects while its call runs, and then repeats the key at another host.
+/// The call must not run again.
 #[tokio::test]
-async fn a_caller_that_left_finds_its_answer_under_the_key() {
+async fn a_response_is_replayed_to_a_caller_that_disconnected() {
     let app = app(Duration::from_millis(300)).await;
     let fleet = fleet(vec![spec("app-0", app.address, "robots")]).await;
     let key = key_from(&fleet.hosts[1], "gate").await;
@@ -153,7 +165,7 @@
     assert_eq!(app.calls().len(), 1, "{:?}", app.calls());
 }
 
-/// A program with a bug sends each command to all hosts at once.
+/// A faulty caller sends each call to all hosts at once; each must run only once.
 #[tokio::test]
 async fn all_hosts_claim_at_once() {
     let app = app(Duration::from_millis(20)).await;
@@ -170,13 +182,17 @@
         for call in calls {
             let answer = call.await.expect("no panic").expect("an answer");
             let ran = answer.status == StatusCode::OK;
-            assert!(ran || words(&answer).0 == "in-flight", "{answer:?}");
+            assert!(
+                ran || reason_and_outcome(&answer).0 == "in-flight",
+                "{answer:?}"
+            );
         }
         assert_eq!(app.calls().len(), round + 1);
     }
 }
 
-/// A key is tied to its account, route and body, and says nothing to others.
+/// A key is bound to its account, route and body. A call that differs in one of them must be
+/// refused, and another account must not receive the stored response.
 #[tokio::test]
 async fn a_key_used_for_another_call_is_refused() {
     let app = app(Duration::from_millis(20)).await;
@@ -185,21 +201,24 @@
     let own = yilan(fleet.hosts[0].address);
     let first = open_gate(&own, &key).await.expect("an answer");
     assert_eq!(first.status, StatusCode::OK);
-    let stranger = Client::new(fleet.hosts[2].address, "farm-luodong-secret");
+    let other_account = Client::new(fleet.hosts[2].address, "farm-luodong-secret");
     let others = [
         keyed(&own, &key, r#"{"gate": 8}"#).await,
-        open_gate(&stranger, &key).await,
+        open_gate(&other_account, &key).await,
     ];
     for answer in others {
         let answer = answer.expect("an answer");
         assert_eq!(answer.status, StatusCode::UNPROCESSABLE_ENTITY);
-        assert_eq!(words(&answer), ("key-mismatch".into(), "not-run".into()));
+        assert_eq!(
+            reason_and_outcome(&answer),
+            ("key-mismatch".into(), "not-run".into())
+        );
     }
     assert_eq!(app.calls().len(), 1, "{:?}", app.calls());
 }
 
 #[tokio::test]
-async fn a_key_of_another_form_is_explained() {
+async fn a_malformed_key_is_refused_with_a_hint() {
     let app = app(Duration::from_millis(20)).await;
     let fleet = fleet(vec![spec("app-0", app.address, "robots")]).await;
     let client = yilan(fleet.hosts[0].address);
@@ -212,28 +231,32 @@
             .to_owned();
         assert!(message.contains("GET /v1/entry"), "{message}");
     }
-    // Well formed, but no such host or incarnation lives: it may have run long ago.
+    // These keys are well formed, but no such host or incarnation runs: the calls may have
+    // run in the past.
     for key in ["host-9-12.3-gate", "host-0-12.3-gate"] {
         let answer = open_gate(&client, key).await.expect("an answer");
-        assert_eq!(words(&answer), ("key-unknown".into(), "unknown".into()));
+        assert_eq!(
+            reason_and_outcome(&answer),
+            ("key-unknown".into(), "unknown".into())
+        );
     }
     assert!(app.calls().is_empty());
 }
 
-/// The backend server refuses the connection: no byte left, so "not run" is true and
-/// the same key may be used again.
+/// The backend server refuses the connection. No byte was sent, so the call did not run, and
+/// the same key must be usable again.
 #[tokio::test]
-async fn a_claim_of_a_call_that_was_not_sent_is_given_back() {
-    let gone = app(Duration::ZERO).await;
-    let address = gone.address;
-    gone.kill();
-    drop(gone);
+async fn a_claim_on_a_call_that_was_not_sent_is_released() {
+    let stopped = app(Duration::ZERO).await;
+    let address = stopped.address;
+    stopped.kill();
+    drop(stopped);
     let fleet = fleet(vec![spec("app-0", address, "robots")]).await;
     let key = key_from(&fleet.hosts[1], "gate").await;
     let client = yilan(fleet.hosts[0].address);
     let refused = tokio::time::timeout(WAIT, open_gate(&client, &key)).await;
     let refused = refused.expect("in time").expect("an answer");
-    assert_eq!(words(&refused).1, "not-run");
+    assert_eq!(reason_and_outcome(&refused).1, "not-run");
     let cfg = jaypin_standin::AppConfig {
         address: address.to_string(),
         work: Duration::from_millis(20),
--- a/crates/jaypin_bench/tests/common/mod.rs
+++ b/crates/jaypin_bench/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What tests of whole fleets share: views of hosts, and waits for conditions.
+//! Helpers shared by fleet tests: reads of host pages, and waits for conditions.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some helpers")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,22 +9,25 @@
 use serde_json::Value;
 use tokio::time::{Instant, sleep};
 
-/// Longest wait for anything: far beyond what it takes, also on a busy machine.
-pub const GENEROUS: Duration = Duration::from_secs(30);
-/// Pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+/// Timeout of every wait; long enough for a busy machine.
+pub const MAX_WAIT: Duration = Duration::from_secs(30);
+/// Pause between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until a look shows what is wanted; gives the time that took.
-pub async fn until<F: Future<Output = bool>>(what: &str, mut look: impl FnMut() -> F) -> Duration {
+/// Polls a condition until it holds and returns the time that took.
+pub async fn until<F: Future<Output = bool>>(
+    what: &str,
+    mut condition: impl FnMut() -> F,
+) -> Duration {
     let start = Instant::now();
-    while !look().await {
-        assert!(start.elapsed() < GENEROUS, "never seen: {what}");
-        sleep(LOOK_PAUSE).await;
+    while !condition().await {
+        assert!(start.elapsed() < MAX_WAIT, "not in time: {what}");
+        sleep(POLL_INTERVAL).await;
     }
     start.elapsed()
 }
 
-/// Status and incarnation of every host, as one host sees them.
+/// Returns the status and incarnation of every host, as one host reports them.
 pub async fn members(host: &Host) -> BTreeMap<String, (String, u64)> {
     let page = host.page("/members").await;
     let list = page.and_then(|(_, body)| body.as_array().cloned());
@@ -36,7 +39,7 @@
     list.unwrap_or_default().iter().filter_map(entry).collect()
 }
 
-/// Whether a host sees another in a status.
+/// Returns whether a host reports another host with the given status.
 pub async fn sees(host: &Host, other: &str, status: &str) -> bool {
     members(host)
         .await
@@ -44,7 +47,7 @@
         .is_some_and(|(found, _)| found == status)
 }
 
-/// Whether all of some hosts see another in a status.
+/// Returns whether all given hosts report another host with the given status.
 pub async fn all_see(hosts: &[&Host], other: &str, status: &str) -> bool {
     for host in hosts {
         if !sees(host, other, status).await {
@@ -54,7 +57,7 @@
     true
 }
 
-/// Waits until every host sees every host alive.
+/// Waits until every host reports every host as alive.
 pub async fn until_all_alive(fleet: &Fleet) {
     let hosts: Vec<&Host> = fleet.hosts.iter().collect();
     for host in &hosts {
@@ -63,21 +66,21 @@
     }
 }
 
-/// A number of a host's status page.
+/// Returns a number from a host's status page; 0 if it is missing.
 pub async fn status_number(host: &Host, name: &str) -> u64 {
     let page = host.page("/status").await;
     page.and_then(|(_, body)| body[name].as_u64())
         .unwrap_or_default()
 }
 
-/// A number of a host's link counts.
+/// Returns a counter from a host's links page; 0 if it is missing.
 pub async fn link_count(host: &Host, name: &str) -> u64 {
     let page = host.page("/links").await;
     page.and_then(|(_, body)| body[name].as_u64())
         .unwrap_or_default()
 }
 
-/// Names in a host's entry list, best first.
+/// Returns the host names in a host's address list, in preference order.
 pub async fn entry_list(host: &Host, query: &str) -> Vec<String> {
     let url = format!("http://{}/v1/entry{query}", host.address);
     let answer = tokio::task::spawn_blocking(move || {
@@ -90,7 +93,7 @@
     addresses.iter().filter_map(name).collect()
 }
 
-/// Names in a host's entry list, in no order.
+/// Returns the host names in a host's address list, without their order.
 pub async fn entry_set(host: &Host) -> BTreeSet<String> {
     entry_list(host, "").await.into_iter().collect()
 }
--- a/crates/jaypin_bench/tests/explain.rs
+++ b/crates/jaypin_bench/tests/explain.rs
@@ -1,5 +1,5 @@
-//! Why a request was decided as it was: told to operators by any host, to callers of
-//! their own requests, and to nobody else.
+//! Any host explains the decisions on a request to operators, and to callers only for
+//! requests of their own account.
 
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
@@ -18,7 +18,7 @@
     Fleet::start(cfg).await.expect("fleet")
 }
 
-/// Makes a call through the second host; gives the answer and the request's id.
+/// Makes a call through the second host and returns the response and the request's id.
 async fn call(fleet: &Fleet) -> (Answer, String) {
     let client = Client::new(fleet.hosts[1].address, "farm-yilan-secret");
     let body = completion_body("cow-small", "How is cow 17?", 8, true);
@@ -28,7 +28,7 @@
     (answer, id)
 }
 
-/// Asks the first host, which does not own the request.
+/// Runs `jaypin explain` against the first host, which does not own the request.
 async fn explain(fleet: &Fleet, id: &str, more: &[&str]) -> String {
     let host = fleet.hosts[0].operator.to_string();
     let args = [&["explain", id, "--host", &host], more].concat();
@@ -78,10 +78,11 @@
     assert!(text.contains("so it was not run"), "{text}");
 }
 
-/// A rival's caller learns ids, from a log that it was sent, and asks for the records.
-/// It must see no difference between another's request and one that never was.
+/// A caller of another account has request ids from a leaked log and requests their records.
+/// The response must not differ from that for an id that never existed, or it would reveal
+/// which requests exist.
 #[tokio::test]
-async fn another_accounts_credential_is_shown_nothing() {
+async fn a_credential_of_another_account_cannot_read_a_record() {
     let fleet = fleet(2).await;
     let (_, id) = call(&fleet).await;
     for host in 0..3 {
@@ -89,11 +90,11 @@
         assert_eq!(own.status, StatusCode::OK);
         assert_eq!(own.json()["account"], "farm-yilan");
         let others = own_record(&fleet, host, "farm-jiaoxi-secret", &id).await;
-        let nobodys = own_record(&fleet, host, "farm-jiaoxi-secret", &format!("{id}9")).await;
+        let missing = own_record(&fleet, host, "farm-jiaoxi-secret", &format!("{id}9")).await;
         assert_eq!(others.status, StatusCode::NOT_FOUND);
         assert_eq!(
             (others.status, &others.body),
-            (nobodys.status, &nobodys.body)
+            (missing.status, &missing.body)
         );
         let unknown = own_record(&fleet, host, "a-guess", &id).await;
         assert_eq!(unknown.status, StatusCode::UNAUTHORIZED);
@@ -101,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn the_operators_listener_asks_for_its_token() {
+async fn the_operators_listener_requires_its_token() {
     let fleet = fleet(0).await;
     let host = fleet.hosts[0].operator.to_string();
     for command in [
@@ -123,8 +124,8 @@
     assert_eq!(status, 200);
 }
 
-/// A gate release is sent twice with one key. The record of each says what the key's
-/// owner answered, so that someone can see why it ran once.
+/// A call is sent twice with one key. The record of each must contain the verdict of the key's
+/// owner, which shows why the call ran only once.
 #[tokio::test]
 async fn a_repeated_call_is_explained_by_its_key() {
     let fleet = fleet(0).await;
@@ -145,8 +146,8 @@
         assert_eq!(answer.status, StatusCode::OK);
         let id = answer.headers.get("x-request-id").expect("an id");
         let text = explain(&fleet, id.to_str().expect("text"), &[]).await;
-        let said = format!("the host that owns its idempotency key answered `{verdict}`");
-        assert!(text.contains(&said), "{text}");
+        let expected = format!("the host that owns its idempotency key answered `{verdict}`");
+        assert!(text.contains(&expected), "{text}");
     }
     assert_eq!(fleet.apps[0].calls().len(), 1);
 }
--- a/crates/jaypin_bench/tests/leaving.rs
+++ b/crates/jaypin_bench/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use common::{GENEROUS, entry_list, entry_set, until, until_all_alive};
+use common::{MAX_WAIT, entry_list, entry_set, until, until_all_alive};
 use hyper::StatusCode;
 use jaypin_bench::{Client, Fleet, FleetConfig, completion_body};
 use jaypin_standin::{Fault, expected_answer};
@@ -52,7 +52,7 @@
     let answer = stream.await.expect("no panic").expect("an answer");
     assert!(answer.done);
     assert_eq!(answer.text(), expected_answer("a long one", 150));
-    assert_eq!(fleet.hosts[2].wait_exit(GENEROUS).await, Some(true));
+    assert_eq!(fleet.hosts[2].wait_exit(MAX_WAIT).await, Some(true));
 }
 
 /// A backend server says in its load reports that it leaves. The platform is out, so no
--- a/crates/jaypin_bench/tests/operators.rs
+++ b/crates/jaypin_bench/tests/operators.rs
@@ -1,4 +1,5 @@
-//! What operators do to a running fleet, by the real command line.
+//! Operators change the rules of a running fleet and read its audit trail with the real
+//! command line.
 
 use std::path::PathBuf;
 
@@ -10,12 +11,12 @@
 const RULES: &str = jaypin_bench::RULES;
 
 /// A fleet and a directory for rule files.
-struct Bench {
+struct TestBed {
     fleet: Fleet,
     directory: PathBuf,
 }
 
-impl Bench {
+impl TestBed {
     async fn start() -> Self {
         Self::start_hosts(2).await
     }
@@ -67,7 +68,7 @@
     }
 }
 
-impl Drop for Bench {
+impl Drop for TestBed {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.directory);
     }
@@ -77,11 +78,11 @@
     format!("{RULES}- {{account: {name}}}  # asked by: {requester}\n")
 }
 
-/// Two operators edit the same version and apply at the same time. One must win; the
-/// other must see whose change came first and what it holds, and keep its file.
+/// Two operators edit the same version and apply at the same time. Only one change may be
+/// accepted; the other operator must see who made the accepted change and what it contains.
 #[tokio::test]
-async fn of_two_racing_operators_one_wins_and_the_other_sees_why() {
-    let bench = Bench::start().await;
+async fn of_two_concurrent_changes_one_is_accepted_and_the_other_refused() {
+    let bench = TestBed::start().await;
     let one = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
     let other = bench.file(
         "other.yaml",
@@ -116,11 +117,11 @@
     assert_eq!((count("accepted"), count("lost-race")), (1, 1));
 }
 
-/// The platform takes a write and its answer is lost. The operator must learn that the
-/// change is in force, and it must not be written a second time.
+/// The platform applies a write and its response is lost. The command must report that the
+/// change is in force, and must not write it a second time.
 #[tokio::test]
-async fn a_write_whose_answer_is_lost_is_settled() {
-    let bench = Bench::start().await;
+async fn a_write_whose_response_is_lost_is_confirmed() {
+    let bench = TestBed::start().await;
     let file = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
     bench.fleet.platform.set_fault(Fault::LoseWriteAnswers);
     let done = bench.apply(&file, "1", "ann").await;
@@ -139,11 +140,11 @@
     assert_eq!(kinds, ["proposed", "accepted"]);
 }
 
-/// A host is frozen while a change is applied. The operator must be told which host
-/// does not have the change, and must not believe that it is in force everywhere.
+/// A host is frozen while a change is applied. The command must name the host that does not
+/// have the change, and must not report that the change is in force everywhere.
 #[tokio::test]
 async fn a_host_that_does_not_report_the_version_is_named() {
-    let bench = Bench::start().await;
+    let bench = TestBed::start().await;
     let file = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
     bench.fleet.hosts[1].signal("STOP");
     let args = ["rules", "apply", &file, "--edited-from", "1"];
@@ -161,7 +162,7 @@
 
 #[tokio::test]
 async fn a_wrong_file_changes_nothing_and_is_in_the_audit_trail() {
-    let bench = Bench::start().await;
+    let bench = TestBed::start().await;
     let wrong = include_str!("../../jaypin_rules/tests/wrong-rules.yaml");
     let file = bench.file("wrong.yaml", wrong);
     let done = bench.apply(&file, "1", "ann").await;
@@ -176,11 +177,11 @@
     assert!(!text.contains("a-secret-credential"), "{text}");
 }
 
-/// Each accepted change can be traced from the trail to who asked for it, and a change
-/// that adds no rule has to name a requester.
+/// The audit trail names the requester of each accepted change. A change that adds no rule
+/// carries no requester in its text, so the command must require one.
 #[tokio::test]
 async fn a_change_is_traced_to_its_requester() {
-    let bench = Bench::start().await;
+    let bench = TestBed::start().await;
     let added = bench.file(
         "added.yaml",
         &with_account("farm-one", "sales, contract 11"),
@@ -215,11 +216,11 @@
     assert_eq!(proposed[1]["difference"][0], format!("-{line}: {rule}"));
 }
 
-/// Someone with access to the platform changes who applied a change. The next check of
-/// the trail must name the place.
+/// Someone with access to the platform changes the author of an entry. The next verification
+/// must report the entry whose digest does not match.
 #[tokio::test]
-async fn a_tampered_audit_trail_is_found() {
-    let bench = Bench::start().await;
+async fn a_tampered_audit_trail_is_detected() {
+    let bench = TestBed::start().await;
     for (version, author) in [("1", "ann"), ("2", "bo")] {
         let text = with_account(&format!("farm-{author}"), "sales, contract 11");
         let file = bench.file("rules.yaml", &text);
@@ -242,11 +243,11 @@
     );
 }
 
-/// Someone cuts the newest entries off. The chain that is left holds together, so it
-/// shows against the last digest, noted outside the platform, and against the rules.
+/// Someone removes the newest entries. The remaining chain is consistent, so the removal is
+/// visible only against the rules and against the last digest, kept outside the platform.
 #[tokio::test]
-async fn entries_cut_off_the_end_are_found() {
-    let bench = Bench::start().await;
+async fn entries_removed_from_the_end_are_detected() {
+    let bench = TestBed::start().await;
     let file = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
     assert_eq!(bench.apply(&file, "1", "ann").await.code, Some(0));
     let noted = bench.jaypin(&["audit", "--verify"]).await;
@@ -271,11 +272,11 @@
     assert!(cut.stderr.contains("no entry has the expected digest"));
 }
 
-/// Many refused changes fill the trail. The platform takes a megabyte a value, so the
-/// trail must go on in a new object, and hold together over both.
+/// Many refused changes fill the trail. The platform accepts values of up to 1 MiB, so the
+/// trail must continue in a new object, and its chain must be valid across both.
 #[tokio::test]
-async fn a_long_audit_trail_goes_on_in_a_new_object() {
-    let bench = Bench::start().await;
+async fn a_long_audit_trail_continues_in_a_new_object() {
+    let bench = TestBed::start().await;
     let long = format!(
         "{}- wrong\n",
         "# a remark of forty letters and some more\n".repeat(6_000)
@@ -298,12 +299,12 @@
     assert!(second.len() < 1 << 20);
 }
 
-/// The rules of 17,000 accounts are three times as long as the platform's values may be.
-/// The change must be in force as a whole on hosts that watch the platform and on those
-/// that hear of it from peers, and a small change must not write all of it again.
+/// The rules of 17,000 accounts are three times as long as the platform's value limit. The
+/// whole change must be in force both on hosts that watch the platform and on those that
+/// receive it from peers, and a small change must not rewrite all objects.
 #[tokio::test]
 async fn rules_that_exceed_one_object_are_in_force_on_every_host() {
-    let bench = Bench::start_hosts(8).await;
+    let bench = TestBed::start_hosts(8).await;
     let mut text = RULES.to_owned();
     for number in 0..17_000 {
         let digest = jaypin_rules::digest_credential(&number.to_string());
--- a/crates/jaypin_bench/tests/poison.rs
+++ b/crates/jaypin_bench/tests/poison.rs
@@ -9,7 +9,7 @@
 use hyper::StatusCode;
 use jaypin_bench::{Answer, completion_body};
 use jaypin_standin::EngineConfig;
-use support::{WAIT, engine, fleet, spec, until, words, yilan};
+use support::{WAIT, engine, fleet, reason_and_outcome, spec, until, yilan};
 use tokio::time::{Instant, sleep};
 
 /// Most backend servers that one poisonous request may take down.
@@ -67,7 +67,10 @@
         assert!(Instant::now() < deadline, "not refused in time");
         sleep(Duration::from_secs(1)).await;
     };
-    assert_eq!(words(&refused), ("quarantined".into(), "not-run".into()));
+    assert_eq!(
+        reason_and_outcome(&refused),
+        ("quarantined".into(), "not-run".into())
+    );
     assert_eq!(refused.json()["rule_line"], 18);
     // The others hear of it by themselves, without losing a backend server.
     let before = served();
--- a/crates/jaypin_bench/tests/strangers.rs
+++ b/crates/jaypin_bench/tests/strangers.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-use common::{GENEROUS, link_count, until, until_all_alive};
+use common::{MAX_WAIT, link_count, until, until_all_alive};
 use jaypin_bench::{Fleet, FleetConfig, Host};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, copy};
 use tokio::net::{TcpListener, TcpStream};
@@ -32,7 +32,7 @@
     // The host may close while bytes are on their way: that is an answer, too.
     let _ = stream.write_all(rest).await;
     let reading = stream.read_to_end(&mut heard);
-    let _ = timeout(GENEROUS, reading)
+    let _ = timeout(MAX_WAIT, reading)
         .await
         .expect("closed by the host");
     heard
--- a/crates/jaypin_bench/tests/succession.rs
+++ b/crates/jaypin_bench/tests/succession.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use common::{GENEROUS, status_number, until, until_all_alive};
+use common::{MAX_WAIT, status_number, until, until_all_alive};
 use jaypin_bench::{Answer, Client, Fleet, FleetConfig, completion_body};
 use jaypin_standin::{Engine, EngineConfig, expected_answer};
 use tokio::task::JoinSet;
@@ -67,7 +67,7 @@
 
 /// Every answer is whole and its own, and nothing ran twice.
 async fn check(fleet: &Fleet, mut requests: JoinSet<(usize, Answer)>) {
-    while let Some(answered) = timeout(GENEROUS, requests.join_next())
+    while let Some(answered) = timeout(MAX_WAIT, requests.join_next())
         .await
         .expect("in time")
     {
--- a/crates/jaypin_bench/tests/support/mod.rs
+++ b/crates/jaypin_bench/tests/support/mod.rs
@@ -1,6 +1,7 @@
-//! What the failure tests share: fleets with their own backend servers, keyed calls.
+//! Helpers shared by failure tests: fleets with given backend servers, and calls with an
+//! idempotency key.
 
-#![allow(dead_code, reason = "each test program uses a part")]
+#![allow(dead_code, reason = "each test program uses only some helpers")]
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,12 +14,12 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-/// Generous bound of every wait.
+/// Timeout of every wait; long enough for a busy machine.
 pub const WAIT: Duration = Duration::from_secs(30);
-/// Path of a call that may not be repeated.
+/// Path of a call that must not run twice.
 pub const GATE: &str = "/v1/services/robots/gate";
 
-/// Starts an application worker that takes `work` for a call.
+/// Starts an application worker that needs the time `work` for each call.
 pub async fn app(work: Duration) -> App {
     let cfg = AppConfig {
         work,
@@ -32,7 +33,7 @@
     Engine::start(cfg).await.expect("an engine")
 }
 
-/// Starts three hosts before the backend servers given.
+/// Starts three hosts that use the given backend servers.
 pub async fn fleet(backends: Vec<BackendSpec>) -> Fleet {
     let cfg = FleetConfig {
         engines: Vec::new(),
@@ -49,7 +50,7 @@
     fleet
 }
 
-/// Names a backend server of a service.
+/// Returns the specification of a backend server with 16 slots.
 pub fn spec(id: &str, address: SocketAddr, service: &str) -> BackendSpec {
     BackendSpec {
         id: id.to_owned(),
@@ -60,7 +61,7 @@
     }
 }
 
-/// A key of the caller's own under the prefix that a host gives.
+/// Returns an idempotency key that has the prefix issued by a host.
 pub async fn key_from(host: &Host, own: &str) -> String {
     let answer = yilan(host.address)
         .call(Method::GET, "/v1/entry", &[], Bytes::new())
@@ -70,17 +71,17 @@
     format!("{}{own}", prefix.as_str().expect("a prefix"))
 }
 
-/// A caller of the account `farm-yilan`.
+/// Returns a client of the account `farm-yilan`.
 pub fn yilan(address: SocketAddr) -> Client {
     Client::new(address, "farm-yilan-secret")
 }
 
-/// Opens gate 7 under a key; gives nothing when no answer came.
+/// Opens gate 7 under a key; returns `None` if no response came.
 pub async fn open_gate(client: &Client, key: &str) -> Option<Answer> {
     keyed(client, key, r#"{"gate": 7}"#).await
 }
 
-/// A keyed call with a body.
+/// Calls the gate route with a key and a body; returns `None` if no response came.
 pub async fn keyed(client: &Client, key: &str, body: &'static str) -> Option<Answer> {
     let headers = [("idempotency-key", key)];
     let call = client.call(
@@ -92,14 +93,14 @@
     call.await.ok()
 }
 
-/// The words `reason` and `outcome` of a refusal.
-pub fn words(answer: &Answer) -> (String, String) {
+/// Returns the members `reason` and `outcome` of a refusal's body.
+pub fn reason_and_outcome(answer: &Answer) -> (String, String) {
     let body = answer.json();
-    let word = |value: &Value| value.as_str().unwrap_or_default().to_owned();
-    (word(&body["reason"]), word(&body["outcome"]))
+    let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
+    (text(&body["reason"]), text(&body["outcome"]))
 }
 
-/// Repeats a keyed call until `done` accepts its answer.
+/// Repeats a keyed call until `done` accepts the response.
 pub async fn repeat_until(client: &Client, key: &str, done: impl Fn(&Answer) -> bool) -> Answer {
     let deadline = Instant::now() + WAIT;
     loop {
@@ -121,7 +122,7 @@
     }
 }
 
-/// Begins to open the gate under a key; the call goes on beside the test.
+/// Starts a call in the background that opens the gate under a key.
 pub fn start_gate(client: &Client, key: &str) -> JoinHandle<Option<Answer>> {
     let (client, key) = (client.clone(), key.to_owned());
     tokio::spawn(async move { open_gate(&client, &key).await })
--- a/crates/jaypin_bench/tests/whole_answers.rs
+++ b/crates/jaypin_bench/tests/whole_answers.rs
@@ -9,7 +9,8 @@
 use jaypin_bench::{Answer, Client, completion_body};
 use jaypin_standin::{Engine, EngineConfig, Proxy, ProxyMode, expected_answer};
 use support::{
-    GATE, app, engine, fleet, key_from, open_gate, spec, start_gate, until, words, yilan,
+    GATE, app, engine, fleet, key_from, open_gate, reason_and_outcome, spec, start_gate, until,
+    yilan,
 };
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
@@ -177,7 +178,7 @@
         let answer = client.complete(&body, &[]).await.expect("an answer");
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
         assert_eq!(
-            words(&answer),
+            reason_and_outcome(&answer),
             ("backend-server-lost".into(), "unknown".into())
         );
     }
@@ -250,11 +251,14 @@
     proxy.set(ProxyMode::Cut);
     let answer = call.await.expect("no panic").expect("an answer");
     assert_eq!(
-        words(&answer),
+        reason_and_outcome(&answer),
         ("backend-server-lost".into(), "unknown".into())
     );
     proxy.set(ProxyMode::Pass);
     let again = open_gate(&client, &key).await.expect("an answer");
-    assert_eq!(words(&again), ("key-unknown".into(), "unknown".into()));
+    assert_eq!(
+        reason_and_outcome(&again),
+        ("key-unknown".into(), "unknown".into())
+    );
     assert_eq!(app.calls().len(), 1, "{GATE}: {:?}", app.calls());
 }
