--- a/crates/jaypin_bench/tests/history.rs
+++ b/crates/jaypin_bench/tests/history.rs
@@ -1,20 +1,20 @@
-//! The history checker finds each broken promise and passes good histories.
+//! The history checker reports each violated promise and accepts correct histories.
 
 use jaypin_bench::history::{
     Answered, CallRecord, ExecutionRecord, History, LeavingRecord, Promise, RulesRecord,
     ShutdownRecord, check,
 };
 
-/// A history that keeps every promise: a stream, a command that ran once though it was
-/// sent twice, a shed label, a summary that waited, a rule change, a backend server gone.
+/// Returns a history without violations: a stream, a command that ran once although it was
+/// sent twice, a shed label, a summary that waited, a rule change, and a lost backend server.
 fn good() -> History {
     History {
         calls: vec![
-            call("r1", 1, 1_000, 1_500, whole("w1 w2 ")),
+            call("r1", 1, 1_000, 1_500, complete("w1 w2 ")),
             command("r2", 1_100, 1_200, Answered::Nothing),
             command("r3", 1_300, 1_310, refused("", "key-unknown", "unknown")),
             call("r4", 2, 2_000, 2_010, refused("", "shed", "not-run")),
-            call("r5", 3, 1_900, 4_000, whole("w1 w2 ")),
+            call("r5", 3, 1_900, 4_000, complete("w1 w2 ")),
             call(
                 "r6",
                 1,
@@ -49,7 +49,7 @@
     }
 }
 
-fn whole(text: &str) -> Answered {
+fn complete(text: &str) -> Answered {
     Answered::Whole {
         text: text.to_owned(),
     }
@@ -115,8 +115,9 @@
     }
 }
 
-/// Names each case: a good history, changed in one way, and the one promise that breaks.
-macro_rules! broken {
+/// Defines a test for each case: a correct history, one change to it, and the only promise
+/// that the change violates.
+macro_rules! violations {
     ($($name:ident: $promise:ident, $change:expr;)*) => {
         $(
             #[test]
@@ -124,38 +125,38 @@
                 let mut history = good();
                 let change: fn(&mut History) = $change;
                 change(&mut history);
-                let found = check(&history).violations;
-                let promises: Vec<Promise> = found.iter().map(|one| one.promise).collect();
-                assert_eq!(promises, [Promise::$promise], "{found:?}");
+                let violations = check(&history).violations;
+                let promises: Vec<Promise> = violations.iter().map(|violation| violation.promise).collect();
+                assert_eq!(promises, [Promise::$promise], "{violations:?}");
             }
         )*
     };
 }
 
-broken! {
+violations! {
     a_request_on_two_backend_servers: DispatchedOnce,
         |history| history.executions.push(execution("engine-1", "r1", 1_400));
     a_request_twice_on_one_backend_server: DispatchedOnce,
         |history| history.executions.push(execution("engine-0", "r1", 1_400));
     a_key_that_ran_under_two_requests: KeyRunsOnce,
         |history| history.executions.push(app_execution("r3", 1_305));
-    a_whole_answer_of_another_request: OwnWholeAnswer,
-        |history| history.calls[0].answered = whole("v1 v2 ");
-    a_whole_answer_with_a_token_missing: OwnWholeAnswer,
-        |history| history.calls[0].answered = whole("w1 ");
-    a_whole_answer_with_a_token_twice: OwnWholeAnswer,
-        |history| history.calls[0].answered = whole("w1 w1 w2 ");
+    a_complete_answer_of_another_request: OwnWholeAnswer,
+        |history| history.calls[0].answered = complete("v1 v2 ");
+    a_complete_answer_with_a_token_missing: OwnWholeAnswer,
+        |history| history.calls[0].answered = complete("w1 ");
+    a_complete_answer_with_a_token_twice: OwnWholeAnswer,
+        |history| history.calls[0].answered = complete("w1 w1 w2 ");
     a_part_of_another_answer: OwnWholeAnswer,
         |history| history.calls[4].answered = Answered::Broken { text: "v1 ".to_owned() };
     a_marked_end_after_a_token_twice: OwnWholeAnswer,
         |history| history.calls[5].answered = refused("w1 w1 ", "backend-server-lost", "ran");
-    a_stream_that_ends_quietly: OwnWholeAnswer,
+    a_stream_that_ends_without_an_end_marker: OwnWholeAnswer,
         |history| history.calls[0].answered = Answered::QuietEnd { text: "w1 ".to_owned() };
     a_plain_call_answered_for_another_route: OwnWholeAnswer,
-        |history| history.calls[1].answered = whole("POST /teat-cup");
-    a_request_told_not_run_that_ran: NotRunIsNotRun,
+        |history| history.calls[1].answered = complete("POST /teat-cup");
+    a_request_reported_not_run_that_ran: NotRunIsNotRun,
         |history| history.calls[5].answered = refused("", "no-scheduler", "not-run");
-    a_key_told_not_run_after_it_ran: NotRunIsNotRun,
+    a_key_reported_not_run_after_it_ran: NotRunIsNotRun,
         |history| history.calls[2].answered = refused("", "draining", "not-run");
     a_tier_shed_while_a_lower_one_waited: ShedOrder,
         |history| history.executions[2].began_ms = 3_500;
@@ -165,14 +166,14 @@
         |history| history.executions[3].began_ms = 6_000;
     a_stream_cut_by_a_shutdown: ShutdownCutsNothing,
         |history| history.calls[0].answered = Answered::Broken { text: "w1 ".to_owned() };
-    a_rule_version_that_falls: RulesNeverRevert,
+    a_rule_version_that_decreases: RulesNeverRevert,
         |history| history.rules.push(version("host-1", 2_600, 2));
-    a_rule_version_that_falls_with_a_restart: RulesNeverRevert,
+    a_rule_version_that_decreases_with_a_restart: RulesNeverRevert,
         |history| history.rules[3].version = 3;
 }
 
-/// Names each case: a good history, changed in a way that breaks nothing.
-macro_rules! kept {
+/// Defines a test for each case: a change to a correct history that violates no promise.
+macro_rules! accepted {
     ($($name:ident: $change:expr;)*) => {
         $(
             #[test]
@@ -186,10 +187,10 @@
     };
 }
 
-kept! {
+accepted! {
     a_good_history: |_| ();
     an_empty_history: |history| *history = History::default();
-    a_key_that_ran_after_it_was_told_not_run: |history| {
+    a_key_that_ran_after_it_was_reported_not_run: |history| {
         history.calls[1].answered = refused("", "draining", "not-run");
         history.executions[1] = app_execution("r3", 1_305);
     };
--- a/crates/jaypin_bench/tests/leaving.rs
+++ b/crates/jaypin_bench/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Hosts and backend servers that leave: no new work, and nothing cut.
+//! Hosts and backend servers that leave get no new work, and finish what they run.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use jaypin_standin::{Fault, expected_answer};
 
 const HOSTS: usize = 6;
-/// Requests in a round that shows where work goes.
+/// Requests in a round that shows which engines get work.
 const ROUND: usize = 12;
 
 async fn fleet() -> Fleet {
@@ -25,20 +25,20 @@
     fleet
 }
 
-/// A host is told to leave while it streams an answer. Callers must stop being sent to
-/// it at once though the host list still names it, new requests there must be refused
-/// as not run with a time to come back, and the stream must end whole.
+/// A host gets SIGTERM while it streams a response. The address lists must omit it at once
+/// although the host list still names it, new requests there must be refused as not run with
+/// a `retry-after` header, and the stream must be complete.
 #[tokio::test]
-async fn a_leaving_host_gets_nothing_new_and_cuts_nothing() {
+async fn a_leaving_host_refuses_new_requests_and_finishes_its_stream() {
     let mut fleet = fleet().await;
     let client = Client::new(fleet.hosts[2].address, "farm-yilan-secret");
     let caller = client.clone();
     let body = completion_body("cow-small", "a long one", 150, true);
     let stream = tokio::spawn(async move { caller.complete(&body, &[]).await });
-    until("the stream runs", || async { ran(&fleet) == 1 }).await;
+    until("the stream runs", || async { execution_count(&fleet) == 1 }).await;
     fleet.hosts[2].signal("TERM");
     for host in &fleet.hosts {
-        until("host-2 left out", || async {
+        until("host-2 omitted", || async {
             !entry_set(host).await.contains("host-2")
         })
         .await;
@@ -48,21 +48,22 @@
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(refused.json()["outcome"], "not-run");
     assert!(refused.headers.contains_key("retry-after"));
-    assert!(!stream.is_finished(), "all this while it streams");
+    assert!(!stream.is_finished(), "the stream still runs");
     let answer = stream.await.expect("no panic").expect("an answer");
     assert!(answer.done);
     assert_eq!(answer.text(), expected_answer("a long one", 150));
     assert_eq!(fleet.hosts[2].wait_exit(MAX_WAIT).await, Some(true));
 }
 
-/// A backend server says in its load reports that it leaves. The platform is out, so no
-/// host list says so. Then the shard's leader dies, and its successor has heard nothing.
+/// A backend server reports in its load reports that it is leaving. The platform is down, so
+/// no host list contains this. Then the shard's leader is killed; its successor has received
+/// no such report yet and must not send work there either.
 #[tokio::test]
-async fn a_leaving_backend_server_gets_nothing_new_while_the_platform_is_out() {
+async fn a_leaving_backend_server_gets_no_work_while_the_platform_is_down() {
     let mut fleet = fleet().await;
     fleet.platform.set_fault(Fault::Out);
     fleet.engines[0].leave();
-    until("a round passes it by", || round_without(&fleet, 0)).await;
+    until("a round without work for it", || round_without(&fleet, 0)).await;
     for _ in 0..3 {
         assert!(round_without(&fleet, 0).await);
     }
@@ -77,7 +78,7 @@
     }
 }
 
-/// Whether an engine got none of a round of requests.
+/// Sends a round of requests and returns whether an engine got none of them.
 async fn round_without(fleet: &Fleet, engine: usize) -> bool {
     let before = fleet.engines[engine].executions().len();
     for index in 0..ROUND {
@@ -93,7 +94,7 @@
     fleet.engines[engine].executions().len() == before
 }
 
-fn ran(fleet: &Fleet) -> usize {
+fn execution_count(fleet: &Fleet) -> usize {
     let engines = fleet.engines.iter();
     engines.map(|engine| engine.executions().len()).sum()
 }
@@ -101,24 +102,24 @@
 #[tokio::test]
 async fn an_entry_list_begins_with_the_callers_failure_domain() {
     let fleet = fleet().await;
-    for (domain, near) in [("domain-0", [0, 3]), ("domain-2", [2, 5])] {
+    for (domain, nearby) in [("domain-0", [0, 3]), ("domain-2", [2, 5])] {
         let list = entry_list(&fleet.hosts[1], &format!("?failure-domain={domain}")).await;
         assert_eq!(list.len(), HOSTS);
-        for index in near {
+        for index in nearby {
             let name = format!("host-{index}");
             assert!(list[..2].contains(&name), "{list:?}");
         }
     }
 }
 
-/// One caller asks for its entry list again and again, and sends each time to the first
-/// host. No host may get much more than its part of that.
+/// A caller reads its address list 60 times and uses the first host each time. No host may
+/// be first more than 13 times, or it would get far more than its share of the requests.
 #[tokio::test]
-async fn first_places_are_spread() {
+async fn first_entries_are_spread_over_hosts() {
     let fleet = fleet().await;
     let mut firsts = BTreeMap::<String, usize>::new();
-    let asks = HOSTS * 10;
-    for _ in 0..asks {
+    let reads = HOSTS * 10;
+    for _ in 0..reads {
         let list = entry_list(&fleet.hosts[0], "").await;
         *firsts.entry(list[0].clone()).or_default() += 1;
     }
--- a/crates/jaypin_bench/tests/members.rs
+++ b/crates/jaypin_bench/tests/members.rs
@@ -1,4 +1,5 @@
-//! Hosts that die, freeze, restart or fall silent, as the others see them.
+//! Failure detection: hosts that crash, freeze, restart or become unreachable, as the other
+//! hosts report them.
 
 mod common;
 
@@ -18,13 +19,17 @@
     fleet
 }
 
-fn others<'a>(fleet: &'a Fleet, gone: &str) -> Vec<&'a Host> {
-    fleet.hosts.iter().filter(|host| host.id != gone).collect()
+fn others<'a>(fleet: &'a Fleet, excluded: &str) -> Vec<&'a Host> {
+    fleet
+        .hosts
+        .iter()
+        .filter(|host| host.id != excluded)
+        .collect()
 }
 
-/// A host's process is killed. Callers keep its address from the entry list and their
-/// connections are refused, until the lists of the other hosts leave it out: the host
-/// list of the platform still names it.
+/// A host's process is killed, and the platform's host list still names it. Callers that
+/// have its address get refused connections until the address lists of the other hosts omit
+/// it.
 #[tokio::test]
 async fn a_killed_host_leaves_every_entry_list() {
     let mut fleet = fleet().await;
@@ -39,17 +44,17 @@
     }
 }
 
-/// A host freezes: its connections stay open, its kernel still takes new ones, and
-/// whoever asks it waits for good. The others must leave it out, and take it back when
-/// it thaws and shows that it is the same process.
+/// A host freezes: its connections stay open, its kernel still accepts new ones, and requests
+/// to it never complete. The other hosts must omit it from their address lists, and list it
+/// again with the same incarnation when it resumes.
 #[tokio::test]
-async fn a_frozen_host_is_left_out_until_it_thaws() {
+async fn a_frozen_host_is_omitted_until_it_resumes() {
     let fleet = fleet().await;
     let before = members(&fleet.hosts[0]).await["host-2"].1;
     fleet.hosts[2].signal("STOP");
     let others = others(&fleet, "host-2");
     for host in &others {
-        until("host-2 left out", || async {
+        until("host-2 omitted", || async {
             !entry_set(host).await.contains("host-2")
         })
         .await;
@@ -62,10 +67,11 @@
     }
 }
 
-/// A host is frozen for longer than a suspect may refute, so that the others count it
-/// as dead and keep no link to it. It thaws: it must come back by itself.
+/// A host is frozen for longer than the time in which a suspect may refute the suspicion, so
+/// the others mark it dead and keep no link to it. When it resumes, it must rejoin without
+/// intervention.
 #[tokio::test]
-async fn a_host_taken_for_dead_comes_back() {
+async fn a_host_marked_dead_rejoins_after_it_resumes() {
     let fleet = fleet().await;
     fleet.hosts[4].signal("STOP");
     let others = others(&fleet, "host-4");
@@ -77,8 +83,8 @@
     until_all_alive(&fleet).await;
 }
 
-/// A host is killed and started again at its address. What the others knew of the
-/// former process says nothing of the new one: it is a new member.
+/// A host is killed and restarted at the same address. The state that the others hold of the
+/// old process does not apply to the new one, so it must join with a higher incarnation.
 #[tokio::test]
 async fn a_restarted_host_is_a_new_member() {
     let mut fleet = fleet().await;
@@ -98,7 +104,7 @@
     }
 }
 
-/// Three hosts whose links all go through proxies.
+/// Starts three hosts whose links all pass through proxies.
 async fn proxied() -> (Fleet, Vec<Proxy>) {
     let cfg = FleetConfig::default();
     let mut fleet = Fleet::prepare(cfg).await.expect("fleet");
@@ -116,11 +122,11 @@
     (fleet, proxies)
 }
 
-/// Something between the hosts loses track of their connections: they stay open and
-/// pass nothing on, while new ones work. All hosts run, so none may be left out for
-/// good; new connections have to take the place of the silent ones.
+/// A network device drops the state of the connections between hosts: they stay open and
+/// carry no data, while new ones work. All hosts run, so none may stay excluded; new
+/// connections must replace the silent ones.
 #[tokio::test]
-async fn silent_links_get_new_connections() {
+async fn silent_links_are_replaced_by_new_connections() {
     let (fleet, proxies) = proxied().await;
     let mut before = Vec::new();
     for host in &fleet.hosts {
@@ -138,10 +144,10 @@
     until_all_alive(&fleet).await;
 }
 
-/// The network between one host and all others is cut both ways for so long that each
-/// side counts the other as dead, and heals. Nobody restarts anything.
+/// The links between all hosts are cut in both directions until each host marks every other
+/// one dead, and are then restored. The hosts must rejoin without a restart.
 #[tokio::test]
-async fn a_split_heals() {
+async fn hosts_rejoin_after_a_network_partition() {
     let (fleet, proxies) = proxied().await;
     for proxy in &proxies {
         proxy.set(ProxyMode::Cut);
--- a/crates/jaypin_bench/tests/operators.rs
+++ b/crates/jaypin_bench/tests/operators.rs
@@ -10,13 +10,13 @@
 /// The rule file that the fleet starts with.
 const RULES: &str = jaypin_bench::RULES;
 
-/// A fleet and a directory for rule files.
-struct TestBed {
+/// A fleet, and a directory for rule files that is removed on drop.
+struct TestSetup {
     fleet: Fleet,
     directory: PathBuf,
 }
 
-impl TestBed {
+impl TestSetup {
     async fn start() -> Self {
         Self::start_hosts(2).await
     }
@@ -68,7 +68,7 @@
     }
 }
 
-impl Drop for TestBed {
+impl Drop for TestSetup {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.directory);
     }
@@ -82,15 +82,15 @@
 /// accepted; the other operator must see who made the accepted change and what it contains.
 #[tokio::test]
 async fn of_two_concurrent_changes_one_is_accepted_and_the_other_refused() {
-    let bench = TestBed::start().await;
-    let one = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
-    let other = bench.file(
+    let setup = TestSetup::start().await;
+    let one = setup.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
+    let other = setup.file(
         "other.yaml",
         &with_account("farm-two", "sales, contract 12"),
     );
     let (ann, bo) = tokio::join!(
-        bench.apply(&one, "1", "ann"),
-        bench.apply(&other, "1", "bo")
+        setup.apply(&one, "1", "ann"),
+        setup.apply(&other, "1", "bo")
     );
     let (winner, loser, author, added) = if ann.code == Some(0) {
         (ann, bo, "ann", "farm-one")
@@ -111,8 +111,8 @@
     );
     assert!(loser.stderr.contains(&format!("was changed by {author}")));
     assert!(loser.stderr.contains(&format!("{{account: {added}}}")));
-    assert_eq!(bench.rules_versions().await, [2, 2]);
-    let entries = bench.audit().await;
+    assert_eq!(setup.rules_versions().await, [2, 2]);
+    let entries = setup.audit().await;
     let count = |kind: &str| entries.iter().filter(|entry| entry["kind"] == kind).count();
     assert_eq!((count("accepted"), count("lost-race")), (1, 1));
 }
@@ -121,17 +121,17 @@
 /// change is in force, and must not write it a second time.
 #[tokio::test]
 async fn a_write_whose_response_is_lost_is_confirmed() {
-    let bench = TestBed::start().await;
-    let file = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
-    bench.fleet.platform.set_fault(Fault::LoseWriteAnswers);
-    let done = bench.apply(&file, "1", "ann").await;
+    let setup = TestSetup::start().await;
+    let file = setup.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
+    setup.fleet.platform.set_fault(Fault::LoseWriteAnswers);
+    let done = setup.apply(&file, "1", "ann").await;
     assert_eq!(done.code, Some(0), "{}", done.stderr);
     assert!(
         done.stdout
             .contains("version 2 is in force on 2 of 2 hosts")
     );
-    assert_eq!(bench.rules_versions().await, [2, 2]);
-    let kinds: Vec<Value> = bench
+    assert_eq!(setup.rules_versions().await, [2, 2]);
+    let kinds: Vec<Value> = setup
         .audit()
         .await
         .iter()
@@ -144,13 +144,13 @@
 /// have the change, and must not report that the change is in force everywhere.
 #[tokio::test]
 async fn a_host_that_does_not_report_the_version_is_named() {
-    let bench = TestBed::start().await;
-    let file = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
-    bench.fleet.hosts[1].signal("STOP");
+    let setup = TestSetup::start().await;
+    let file = setup.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
+    setup.fleet.hosts[1].signal("STOP");
     let args = ["rules", "apply", &file, "--edited-from", "1"];
     let more = ["--author", "ann", "--timeout", "3"];
-    let done = bench.jaypin(&[&args[..], &more].concat()).await;
-    bench.fleet.hosts[1].signal("CONT");
+    let done = setup.jaypin(&[&args[..], &more].concat()).await;
+    setup.fleet.hosts[1].signal("CONT");
     assert_eq!(done.code, Some(1));
     assert!(done.stdout.contains("version 2 is accepted"));
     assert!(
@@ -162,14 +162,14 @@
 
 #[tokio::test]
 async fn a_wrong_file_changes_nothing_and_is_in_the_audit_trail() {
-    let bench = TestBed::start().await;
+    let setup = TestSetup::start().await;
     let wrong = include_str!("../../jaypin_rules/tests/wrong-rules.yaml");
-    let file = bench.file("wrong.yaml", wrong);
-    let done = bench.apply(&file, "1", "ann").await;
+    let file = setup.file("wrong.yaml", wrong);
+    let done = setup.apply(&file, "1", "ann").await;
     assert_eq!(done.code, Some(2));
     assert!(done.stderr.contains("30 mistakes, nothing was changed"));
-    assert_eq!(bench.rules_versions().await, [1, 1]);
-    let entries = bench.audit().await;
+    assert_eq!(setup.rules_versions().await, [1, 1]);
+    let entries = setup.audit().await;
     assert_eq!(entries.len(), 1);
     assert_eq!(entries[0]["kind"], "refused");
     assert_eq!(entries[0]["author"], "ann");
@@ -181,17 +181,17 @@
 /// carries no requester in its text, so the command must require one.
 #[tokio::test]
 async fn a_change_is_traced_to_its_requester() {
-    let bench = TestBed::start().await;
-    let added = bench.file(
+    let setup = TestSetup::start().await;
+    let added = setup.file(
         "added.yaml",
         &with_account("farm-one", "sales, contract 11"),
     );
-    let before = bench.fleet.platform.calls();
-    assert_eq!(bench.apply(&added, "1", "ann").await.code, Some(0));
-    let after = bench.fleet.platform.calls();
+    let before = setup.fleet.platform.calls();
+    assert_eq!(setup.apply(&added, "1", "ann").await.code, Some(0));
+    let after = setup.fleet.platform.calls();
     assert_eq!(after.writes - before.writes, 3);
-    let removed = bench.file("removed.yaml", RULES);
-    assert_eq!(bench.apply(&removed, "2", "bo").await.code, Some(2));
+    let removed = setup.file("removed.yaml", RULES);
+    assert_eq!(setup.apply(&removed, "2", "bo").await.code, Some(2));
     let args = [
         "rules",
         "apply",
@@ -202,8 +202,8 @@
         "bo",
     ];
     let named = [&args[..], &["--asked-by", "sales, end of contract 11"]].concat();
-    assert_eq!(bench.jaypin(&named).await.code, Some(0));
-    let entries = bench.audit().await;
+    assert_eq!(setup.jaypin(&named).await.code, Some(0));
+    let entries = setup.audit().await;
     let proposed: Vec<_> = entries
         .iter()
         .filter(|entry| entry["kind"] == "proposed")
@@ -220,21 +220,21 @@
 /// must report the entry whose digest does not match.
 #[tokio::test]
 async fn a_tampered_audit_trail_is_detected() {
-    let bench = TestBed::start().await;
+    let setup = TestSetup::start().await;
     for (version, author) in [("1", "ann"), ("2", "bo")] {
         let text = with_account(&format!("farm-{author}"), "sales, contract 11");
-        let file = bench.file("rules.yaml", &text);
-        assert_eq!(bench.apply(&file, version, author).await.code, Some(0));
+        let file = setup.file("rules.yaml", &text);
+        assert_eq!(setup.apply(&file, version, author).await.code, Some(0));
     }
-    let before = bench.jaypin(&["audit", "--verify"]).await;
+    let before = setup.jaypin(&["audit", "--verify"]).await;
     assert_eq!(before.code, Some(0), "{}", before.stderr);
-    let (_, segment) = bench.fleet.platform.get("audit/0").expect("a segment");
+    let (_, segment) = setup.fleet.platform.get("audit/0").expect("a segment");
     let text = String::from_utf8(segment.to_vec()).expect("text");
-    bench
+    setup
         .fleet
         .platform
         .put("audit/0", text.replace("ann", "eve"));
-    let after = bench.jaypin(&["audit", "--verify"]).await;
+    let after = setup.jaypin(&["audit", "--verify"]).await;
     assert_eq!(after.code, Some(1));
     assert!(
         after
@@ -247,25 +247,25 @@
 /// visible only against the rules and against the last digest, kept outside the platform.
 #[tokio::test]
 async fn entries_removed_from_the_end_are_detected() {
-    let bench = TestBed::start().await;
-    let file = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
-    assert_eq!(bench.apply(&file, "1", "ann").await.code, Some(0));
-    let noted = bench.jaypin(&["audit", "--verify"]).await;
-    let digest = noted
+    let setup = TestSetup::start().await;
+    let file = setup.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
+    assert_eq!(setup.apply(&file, "1", "ann").await.code, Some(0));
+    let verified = setup.jaypin(&["audit", "--verify"]).await;
+    let digest = verified
         .stderr
         .trim()
         .rsplit(' ')
         .next()
         .expect("a digest")
         .to_owned();
-    let kept = bench
+    let intact = setup
         .jaypin(&["audit", "--verify", "--expect", &digest])
         .await;
-    assert_eq!(kept.code, Some(0), "{}", kept.stderr);
-    bench.fleet.platform.put("audit/0", r#"{"entries":[]}"#);
-    let cut = bench.jaypin(&["audit", "--verify"]).await;
+    assert_eq!(intact.code, Some(0), "{}", intact.stderr);
+    setup.fleet.platform.put("audit/0", r#"{"entries":[]}"#);
+    let cut = setup.jaypin(&["audit", "--verify"]).await;
     assert!(cut.stderr.contains("is not in the trail"), "{}", cut.stderr);
-    let cut = bench
+    let cut = setup
         .jaypin(&["audit", "--verify", "--expect", &digest])
         .await;
     assert_eq!(cut.code, Some(1));
@@ -276,22 +276,22 @@
 /// trail must continue in a new object, and its chain must be valid across both.
 #[tokio::test]
 async fn a_long_audit_trail_continues_in_a_new_object() {
-    let bench = TestBed::start().await;
+    let setup = TestSetup::start().await;
     let long = format!(
         "{}- wrong\n",
         "# a remark of forty letters and some more\n".repeat(6_000)
     );
-    let file = bench.file("long.yaml", &long);
+    let file = setup.file("long.yaml", &long);
     for _ in 0..6 {
-        assert_eq!(bench.apply(&file, "1", "ann").await.code, Some(2));
+        assert_eq!(setup.apply(&file, "1", "ann").await.code, Some(2));
     }
-    let done = bench.jaypin(&["audit", "--verify"]).await;
+    let done = setup.jaypin(&["audit", "--verify"]).await;
     assert!(
         done.stderr.contains("6 entries hold together"),
         "{}",
         done.stderr
     );
-    let (_, second) = bench
+    let (_, second) = setup
         .fleet
         .platform
         .get("audit/1")
@@ -304,7 +304,7 @@
 /// receive it from peers, and a small change must not rewrite all objects.
 #[tokio::test]
 async fn rules_that_exceed_one_object_are_in_force_on_every_host() {
-    let bench = TestBed::start_hosts(8).await;
+    let setup = TestSetup::start_hosts(8).await;
     let mut text = RULES.to_owned();
     for number in 0..17_000 {
         let digest = jaypin_rules::digest_credential(&number.to_string());
@@ -314,16 +314,16 @@
         ];
         text.push_str(&rules.concat());
     }
-    let large = bench.file("large.yaml", &text);
-    let done = bench.apply(&large, "1", "ann").await;
+    let large = setup.file("large.yaml", &text);
+    let done = setup.apply(&large, "1", "ann").await;
     assert_eq!(done.code, Some(0), "{}", done.stderr);
     assert!(done.stdout.contains("in force on 8 of 8 hosts"));
-    let before = bench.fleet.platform.calls().writes;
+    let before = setup.fleet.platform.calls().writes;
     text.push_str("- {account: last}  # asked by: sales\n");
-    let larger = bench.file("larger.yaml", &text);
-    assert_eq!(bench.apply(&larger, "2", "ann").await.code, Some(0));
-    let writes = bench.fleet.platform.calls().writes - before;
+    let larger = setup.file("larger.yaml", &text);
+    assert_eq!(setup.apply(&larger, "2", "ann").await.code, Some(0));
+    let writes = setup.fleet.platform.calls().writes - before;
     assert_eq!(writes, 4, "two of the trail, one part, one object");
-    let shown = bench.jaypin(&["rules", "show"]).await;
+    let shown = setup.jaypin(&["rules", "show"]).await;
     assert_eq!(shown.stdout, text);
 }
--- a/crates/jaypin_bench/tests/plot.rs
+++ b/crates/jaypin_bench/tests/plot.rs
@@ -1,4 +1,4 @@
-//! Pictures of a comparison.
+//! The SVG diagrams of a policy comparison.
 
 use jaypin_bench::{Run, plot};
 
@@ -23,7 +23,7 @@
     for policy in ["grants", "local"] {
         assert!(svg.contains(policy), "{policy}");
     }
-    // Two diagrams, each with a dot a run.
+    // There are two diagrams, each with one dot per run.
     assert_eq!(svg.matches("<circle").count(), 2 * runs.len());
 }
 
--- a/crates/jaypin_bench/tests/thin_path.rs
+++ b/crates/jaypin_bench/tests/thin_path.rs
@@ -1,4 +1,5 @@
-//! The whole path with real host processes: served, refused, turned away, left.
+//! Basic request handling by real host processes: streams, plain calls, a wrong credential
+//! and a graceful shutdown.
 
 use std::time::Duration;
 
@@ -8,7 +9,7 @@
 use jaypin_standin::expected_answer;
 
 #[tokio::test]
-async fn a_stream_through_each_host_is_whole() {
+async fn a_stream_through_each_host_is_complete() {
     let fleet = Fleet::start(FleetConfig::default()).await.expect("fleet");
     for host in &fleet.hosts {
         let text = format!("asked at {}", host.id);
@@ -38,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn a_wrong_credential_learns_nothing() {
+async fn a_request_with_a_wrong_credential_is_refused_and_not_run() {
     let fleet = Fleet::start(FleetConfig::default()).await.expect("fleet");
     let client = Client::new(fleet.hosts[0].address, "a-guess");
     let body = completion_body("no-such-model", "hello", 4, false);
@@ -54,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn a_host_told_to_leave_finishes_its_stream() {
+async fn a_host_finishes_its_stream_after_sigterm() {
     let mut fleet = Fleet::start(FleetConfig::default()).await.expect("fleet");
     let client = Client::new(fleet.hosts[0].address, "farm-yilan-secret");
     let body = completion_body("cow-small", "a long one", 60, true);
--- a/crates/jaypin_bench/tests/whole_answers.rs
+++ b/crates/jaypin_bench/tests/whole_answers.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request, or is told that it can't.
+//! Each caller gets the complete answer to its own request, or an explicit error.
 
 mod support;
 
@@ -15,16 +15,16 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// How long a fault lasts; nothing is proved by it.
-const FAULT: Duration = Duration::from_millis(100);
-/// Tokens of a stream that lives long enough to be broken in its middle.
+/// How long a fault lasts; no assertion depends on it.
+const FAULT_DURATION: Duration = Duration::from_millis(100);
+/// Tokens of a stream that lasts long enough to be interrupted in the middle.
 const TOKENS: u64 = 60;
 
 fn start_stream(client: &Client, text: &str, tokens: u64) -> JoinHandle<Option<Answer>> {
     let (client, text) = (client.clone(), text.to_owned());
     tokio::spawn(async move {
         let body = completion_body("cow-small", &text, tokens, true);
-        // A tier that may wait: how many streams a new engine gets at once is not at issue.
+        // This tier may wait, so the limit on concurrent streams of a new engine has no effect.
         let tier = [("x-jaypin-tier", "herd-summary")];
         client.complete(&body, &tier).await.ok()
     })
@@ -44,17 +44,17 @@
         .sum()
 }
 
-fn assert_whole(answer: &Answer, text: &str, tokens: u64) {
+fn assert_complete(answer: &Answer, text: &str, tokens: u64) {
     assert_eq!(answer.status, StatusCode::OK, "{:?}", answer.body);
     assert_eq!(answer.text(), expected_answer(text, tokens));
     assert!(answer.done && !answer.broken && answer.error.is_none());
 }
 
-/// Names a test for each fault between a host and an engine, while eight callers of two
-/// accounts read. A vet reads an answer; its connection to the engine breaks or goes
-/// silent in the middle; the answer must still be whole, no token twice, none missing,
-/// none of another caller's. The engine ran each request once and went on meanwhile.
-macro_rules! broken_streams {
+/// Defines a test for each fault between a host and an engine while eight callers of two
+/// accounts read streams. The connection to the engine breaks or becomes silent in the
+/// middle of an answer while the engine continues. Each answer must be complete: no token
+/// twice, none missing, none of another caller's. The engine must run each request once.
+macro_rules! interrupted_streams {
     ($($name:ident: $faults:expr;)*) => {
         $(
             #[tokio::test]
@@ -65,7 +65,7 @@
     };
 }
 
-broken_streams! {
+interrupted_streams! {
     a_cut_stream_is_resumed: [ProxyMode::Cut];
     a_stream_cut_twice_is_resumed: [ProxyMode::Cut, ProxyMode::Cut];
     a_silent_stream_is_resumed: [ProxyMode::BlackholeOpen];
@@ -81,7 +81,7 @@
         .map(|index: usize| {
             let credential = ["farm-yilan-secret", "farm-luodong-secret"][index % 2];
             let client = Client::new(fleet.hosts[index % 3].address, credential);
-            // Two callers of different accounts ask the same.
+            // Two callers of different accounts send the same prompt.
             let text = format!("cow {}", index / 2);
             (start_stream(&client, &text, TOKENS), text)
         })
@@ -90,17 +90,17 @@
         let enough = 80 * (index as u64 + 1);
         until("streams under way", || generated(&engine) >= enough).await;
         proxy.set(*fault);
-        sleep(FAULT).await;
+        sleep(FAULT_DURATION).await;
         proxy.set(ProxyMode::Pass);
     }
     for (call, text) in callers {
         let answer = call.await.expect("no panic").expect("an answer");
-        assert_whole(&answer, &text, TOKENS);
+        assert_complete(&answer, &text, TOKENS);
     }
     assert_eq!(engine.executions().len(), 8);
 }
 
-/// The connection goes silent before the head of the answer came.
+/// The connection becomes silent before the response header arrives.
 #[tokio::test]
 async fn a_stream_that_is_silent_from_the_start_is_resumed() {
     let engine = engine(EngineConfig::default()).await;
@@ -108,16 +108,19 @@
     let fleet = fleet(vec![spec("engine-0", proxy.address, "chat")]).await;
     proxy.set(ProxyMode::BlackholeDown);
     let call = start_stream(&yilan(fleet.hosts[0].address), "cow 1", 5);
-    until("the engine made all", || generated(&engine) == 5).await;
+    until("the engine generated all tokens", || {
+        generated(&engine) == 5
+    })
+    .await;
     proxy.set(ProxyMode::Pass);
     let answer = call.await.expect("no panic").expect("an answer");
-    assert_whole(&answer, "cow 1", 5);
+    assert_complete(&answer, "cow 1", 5);
     assert_eq!(engine.executions().len(), 1);
 }
 
-/// The engine dies in the middle of an answer and another engine is free. Running the
-/// request there would run it twice; ending quietly would pass half an answer for a
-/// whole one.
+/// The engine crashes in the middle of an answer while another engine is free. Running the
+/// request there would run it twice, and ending the stream without an error would present
+/// half an answer as a complete one.
 #[tokio::test]
 async fn a_stream_that_cannot_be_completed_ends_in_a_marked_error() {
     let engines = [
@@ -132,24 +135,24 @@
     let call = start_stream(&yilan(fleet.hosts[0].address), "cow 1", 1_000);
     let total = || engines.iter().map(generated).sum::<u64>();
     until("a stream under way", || total() >= 10).await;
-    let runs_on = usize::from(engines[0].executions().is_empty());
-    engines[runs_on].kill();
+    let serving = usize::from(engines[0].executions().is_empty());
+    engines[serving].kill();
     let answer = call.await.expect("no panic").expect("an answer");
     assert!(answer.broken && !answer.done);
     let error = answer.error.expect("a marked error");
     assert_eq!(error["reason"], "backend-server-lost");
     assert_eq!(error["outcome"], "unknown");
-    let whole = expected_answer("cow 1", 1_000);
+    let expected = expected_answer("cow 1", 1_000);
     let text: String = answer
         .events
         .iter()
         .map(|event| event.text.as_str())
         .collect();
-    assert!(whole.starts_with(&text) && !text.is_empty());
-    assert!(engines[1 - runs_on].executions().is_empty());
+    assert!(expected.starts_with(&text) && !text.is_empty());
+    assert!(engines[1 - serving].executions().is_empty());
 }
 
-/// The engine's connections are cut again and again and nothing gets through.
+/// Every connection to the engine is cut, so the stream cannot be resumed.
 #[tokio::test]
 async fn a_stream_that_stays_cut_ends_in_a_marked_error() {
     let engine = engine(EngineConfig::default()).await;
@@ -163,9 +166,10 @@
     assert_eq!(answer.error.expect("a marked error")["outcome"], "unknown");
 }
 
-/// The engine crashes before it said a word: the caller must hear of it, streamed or not.
+/// The engine crashes before it sends a response header. The caller must get an error,
+/// whether it requested a stream or not.
 #[tokio::test]
-async fn a_crash_before_the_head_is_answered() {
+async fn a_crash_before_the_response_header_is_reported() {
     let cfg = EngineConfig {
         crash_for: Some(Duration::from_millis(200)),
         ..EngineConfig::default()
@@ -184,9 +188,9 @@
     }
 }
 
-/// A farmer closes the page: the engine must not go on for nobody.
+/// The caller disconnects. The engine must stop generating, since nobody reads the answer.
 #[tokio::test]
-async fn a_caller_that_leaves_cancels_at_the_engine() {
+async fn a_caller_that_disconnects_cancels_its_request_at_the_engine() {
     let engine = engine(EngineConfig::default()).await;
     let fleet = fleet(vec![spec("engine-0", engine.address, "chat")]).await;
     let call = start_stream(&yilan(fleet.hosts[0].address), "cow 1", 1_000);
@@ -195,10 +199,10 @@
     until("cancelled", || engine.executions()[0].cancelled).await;
 }
 
-/// An engine is gone and the host list does not know yet: no byte left, so the request
-/// is run by the other one.
+/// An engine is stopped and the host list still names it. No byte was sent on the refused
+/// connection, so the request must be run by the other engine.
 #[tokio::test]
-async fn a_refused_connection_is_no_refusal() {
+async fn a_request_moves_to_another_engine_after_a_refused_connection() {
     let engines = [
         engine(EngineConfig::default()).await,
         engine(EngineConfig::default()).await,
@@ -217,14 +221,15 @@
         })
         .collect();
     for (call, text) in calls {
-        assert_whole(&call.await.expect("no panic").expect("an answer"), &text, 5);
+        assert_complete(&call.await.expect("no panic").expect("an answer"), &text, 5);
     }
     assert_eq!(engines[1].executions().len(), 12);
 }
 
-/// An engine refuses a request as wrong: that is an answer, not a fault of the engine.
+/// An engine rejects a request as malformed. This response must reach the caller and not be
+/// treated as a failure of the engine.
 #[tokio::test]
-async fn a_client_error_of_an_engine_is_the_answer() {
+async fn a_client_error_of_an_engine_is_forwarded() {
     let engine = engine(EngineConfig::default()).await;
     let fleet = fleet(vec![spec("engine-0", engine.address, "chat")]).await;
     let body = Bytes::from_static(br#"{"model": "cow-small", "prompt": "x", "max_tokens": null}"#);
@@ -235,8 +240,8 @@
     assert_eq!(answer.json(), "not a completion request");
 }
 
-/// The connection to a plain service is cut while it works: it may have run, so it is
-/// neither run again nor called "not run".
+/// The connection to a plain service is cut during a call. The call may have run, so it must
+/// be neither run again nor reported as `not-run`.
 #[tokio::test]
 async fn a_plain_call_cut_after_sending_is_unknown() {
     let app = app(Duration::from_mins(10)).await;
