--- a/crates/jaypin_bench/tests/bad_input.rs
+++ b/crates/jaypin_bench/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Callers that err or mean harm get a clear error or a bounded drop, and the host goes
-//! on serving others.
+//! Faulty and malicious callers get a clear error, or their connection is closed within a
+//! bounded time, and the host continues to serve others.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest wait for a host to drop a caller; the host's own limits are shorter.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// Timeout for a host to close a connection; the host's own limits are shorter.
+const DROP_TIMEOUT: Duration = Duration::from_mins(1);
 
 async fn small_fleet() -> Fleet {
     let cfg = FleetConfig {
@@ -28,8 +28,8 @@
     assert!(answer.done);
 }
 
-/// Names a case: a wrong request, and the status and reason that answer it.
-macro_rules! turned_away {
+/// Defines a test for each case: a wrong request, and the status and reason of its response.
+macro_rules! refused {
     ($($name:ident: $method:expr, $path:expr, $body:expr => $status:expr, $reason:expr;)*) => {
         $(#[tokio::test]
         async fn $name() {
@@ -44,7 +44,7 @@
     };
 }
 
-turned_away! {
+refused! {
     broken_json: Method::POST, "/v1/chat/completions", Bytes::from_static(b"{\"model\": ")
         => StatusCode::BAD_REQUEST, "not-json";
     wrong_method: Method::GET, "/v1/chat/completions", Bytes::new()
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn an_unknown_tier_is_named() {
+async fn an_unknown_tier_is_refused() {
     let fleet = small_fleet().await;
     let client = Client::new(fleet.hosts[0].address, "farm-yilan-secret");
     let body = completion_body("cow-small", "hello", 3, false);
@@ -87,11 +87,11 @@
     assert_serves(address).await;
 }
 
-/// A caller sends half a header and falls silent. Others are served meanwhile, and after
-/// the header timeout its connection is closed. Without the timeout it would be held for
-/// good, and enough of them would hold the host.
+/// A caller sends half a header and nothing more. Others are served meanwhile, and its
+/// connection is closed after the header timeout. Without the timeout it would stay open
+/// forever, and enough of such connections would block the host.
 #[tokio::test]
-async fn half_a_header_and_silence_is_dropped() {
+async fn an_unfinished_header_is_dropped() {
     let fleet = small_fleet().await;
     let address = fleet.hosts[0].address;
     let mut stream = TcpStream::connect(address).await.expect("connection");
@@ -103,10 +103,10 @@
     assert_dropped(&mut stream).await;
 }
 
-/// A caller announces a body, sends a part of it and falls silent. It gets a 408 once the
-/// body timeout is over; others are served meanwhile.
+/// A caller announces a body, sends a part of it and nothing more. It gets a 408 after the
+/// body timeout; others are served meanwhile.
 #[tokio::test]
-async fn half_a_body_and_silence_is_dropped() {
+async fn an_unfinished_body_is_dropped() {
     let fleet = small_fleet().await;
     let address = fleet.hosts[0].address;
     let mut stream = TcpStream::connect(address).await.expect("connection");
@@ -115,16 +115,16 @@
     stream.write_all(head.as_bytes()).await.expect("written");
     assert_serves(address).await;
     let mut buf = [0; 12];
-    let read = tokio::time::timeout(PATIENCE, stream.read_exact(&mut buf)).await;
+    let read = tokio::time::timeout(DROP_TIMEOUT, stream.read_exact(&mut buf)).await;
     read.expect("in time").expect("an answer");
     assert_eq!(&buf, b"HTTP/1.1 408");
 }
 
-/// Ten thousand connections are opened that send nothing. Each new one beyond the bound
-/// closes the oldest silent one, so a caller that speaks is served at once. With a plain
-/// bound on connections, it would be turned away until the header timeout.
+/// A caller opens 10,000 connections that send nothing. Each new connection beyond the limit
+/// closes the oldest idle one, so a caller that sends a request is served at once. With a
+/// plain limit on connections, it would be rejected until the header timeout.
 #[tokio::test]
-async fn ten_thousand_silent_connections_keep_nobody_out() {
+async fn ten_thousand_silent_connections_do_not_block_other_callers() {
     rlimit::increase_nofile_limit(12_000).expect("enough open files");
     let fleet = small_fleet().await;
     let address = fleet.hosts[0].address;
@@ -148,7 +148,7 @@
             }
         }
     };
-    tokio::time::timeout(PATIENCE, read)
+    tokio::time::timeout(DROP_TIMEOUT, read)
         .await
         .expect("the host closes the connection");
 }
--- a/crates/jaypin_bench/tests/draining_key.rs
+++ b/crates/jaypin_bench/tests/draining_key.rs
@@ -1,4 +1,4 @@
-//! A host that is leaving and a key that ran elsewhere.
+//! A repeated key at a leaving host, after the call ran through another host.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 use tokio::time::{Instant, sleep};
 
 const GATE: &str = "/v1/services/robots/gate";
-/// Generous bound of an awaited event.
-const BOUND: Duration = Duration::from_secs(20);
+/// Timeout of every wait; long enough for a busy machine.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
 async fn until_draining(host: &Host) {
-    let deadline = Instant::now() + BOUND;
+    let deadline = Instant::now() + MAX_WAIT;
     while Instant::now() < deadline {
         let status = host.page("/status").await;
         if status.is_some_and(|(_, status)| status["draining"] == true) {
@@ -20,27 +20,27 @@
         }
         sleep(Duration::from_millis(20)).await;
     }
-    panic!("{} never said that it is draining", host.id);
+    panic!("{} did not report that it is draining", host.id);
 }
 
-/// A gate is opened through one host. Its caller loses the answer and sends the key again
-/// to another host, which is just leaving and refuses all new work. Were it told
-/// `not-run`, the caller would open the gate anew, under a new key, and it opens twice;
-/// the key's owner knows the answer, so the leaving host can give it.
+/// A call runs through one host and its response is lost. The caller repeats the key at
+/// another host, which is leaving and refuses all new work. If that host responded with
+/// `not-run`, the caller would repeat the call under a new key and it would run twice. The
+/// key's owner has the response, so the leaving host must return it.
 #[tokio::test]
-async fn a_leaving_host_gives_the_answer_of_a_key_that_ran() {
+async fn a_leaving_host_replays_the_response_of_a_key_that_ran() {
     let fleet = Fleet::start(FleetConfig::default()).await.expect("fleet");
     let first = Client::new(fleet.hosts[0].address, "farm-yilan-secret");
     let leaving = Client::new(fleet.hosts[1].address, "farm-yilan-secret");
-    // Holds the leaving host for as long as the test may take.
+    // This stream keeps the leaving host's process running during the test.
     let stream = leaving.clone();
-    let held = tokio::spawn(async move {
+    let open_stream = tokio::spawn(async move {
         let body = completion_body("cow-small", "a long one", 2_000, true);
         stream
             .complete(&body, &[("x-jaypin-tier", "herd-summary")])
             .await
     });
-    let deadline = Instant::now() + BOUND;
+    let deadline = Instant::now() + MAX_WAIT;
     while fleet.engines.iter().all(|one| one.executions().is_empty()) {
         assert!(Instant::now() < deadline, "the stream never began");
         sleep(Duration::from_millis(5)).await;
@@ -67,5 +67,5 @@
     assert_eq!(look_up["reason"], "draining");
     assert_eq!(look_up["outcome"], "not-run");
     assert_eq!(fleet.apps[0].calls().len(), 1);
-    held.abort();
+    open_stream.abort();
 }
--- a/crates/jaypin_bench/tests/load.rs
+++ b/crates/jaypin_bench/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool draws what its seed says, and judges answers by their tier.
+//! The load tool draws arrivals and faults that depend only on the seed and match the mix.
 
 use std::time::Duration;
 
@@ -21,24 +21,24 @@
     assert_ne!(schedule(7, MINUTE), schedule(8, MINUTE));
 }
 
-/// Names each case: the lengths and shares that a mix draws are those it states.
+/// Defines a test for each mix: the drawn request rate and answer lengths match the mix.
 macro_rules! mixes {
     ($($name:ident: $mix:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                draws_what_it_states(&$mix);
+                arrivals_match_the_mix(&$mix);
             }
         )*
     };
 }
 
 mixes! {
-    lanyang_draws_what_it_states: Mix::lanyang();
-    hanbit_draws_what_it_states: Mix::hanbit();
+    lanyang_arrivals_match_the_mix: Mix::lanyang();
+    hanbit_arrivals_match_the_mix: Mix::hanbit();
 }
 
-fn draws_what_it_states(mix: &Mix) {
+fn arrivals_match_the_mix(mix: &Mix) {
     let rules = jaypin_rules::parse(&mix.rules).expect("rules");
     let arrivals = plan(mix, 200.0, MINUTE, 1);
     let mut texts = 0.0_f64;
--- a/crates/jaypin_bench/tests/metrics.rs
+++ b/crates/jaypin_bench/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What scrapers read of a host.
+//! The metrics page of a host.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
     tokio::task::spawn_blocking(read).await.expect("no panic")
 }
 
-/// Scrapes until a line is there: the last step is counted just after the caller has
-/// its answer.
+/// Scrapes until a line is present, since a request's last step is counted only after the
+/// caller has its response.
 async fn scrape_until(fleet: &Fleet, host: usize, line: &str) -> String {
     for _ in 0..500 {
         let text = scrape(fleet, host).await;
--- a/crates/jaypin_bench/tests/operators.rs
+++ b/crates/jaypin_bench/tests/operators.rs
@@ -79,7 +79,8 @@
 }
 
 /// Two operators edit the same version and apply at the same time. Only one change may be
-/// accepted; the other operator must see who made the accepted change and what it contains.
+/// accepted; the other operator must see who made the accepted change and what it contains,
+/// and keeps the rejected file.
 #[tokio::test]
 async fn of_two_concurrent_changes_one_is_accepted_and_the_other_refused() {
     let setup = TestSetup::start().await;
--- a/crates/jaypin_bench/tests/poison.rs
+++ b/crates/jaypin_bench/tests/poison.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each backend server that runs it is contained.
+//! A request that crashes each backend server that runs it is quarantined.
 
 mod support;
 
@@ -12,23 +12,23 @@
 use support::{WAIT, engine, fleet, reason_and_outcome, spec, until, yilan};
 use tokio::time::{Instant, sleep};
 
-/// Most backend servers that one poisonous request may take down.
-const MOST_LOST: usize = 4;
-/// A tier that may wait.
+/// Maximum number of backend servers that one poisonous request may crash.
+const MAX_LOST_BACKENDS: usize = 4;
+/// Header that selects a tier whose requests may wait.
 const TIER: [(&str, &str); 1] = [("x-jaypin-tier", "herd-summary")];
 
-async fn ask(address: std::net::SocketAddr, text: &str) -> Answer {
+async fn complete(address: std::net::SocketAddr, text: &str) -> Answer {
     let body = completion_body("cow-small", text, 10, true);
     let client = yilan(address);
     client.complete(&body, &TIER).await.expect("an answer")
 }
 
-/// A summary crashes the engine that runs it, and the caller's program sends it again,
-/// each time at another host. Other callers' requests die with those engines and are
-/// sent again too. The summary must be refused in the whole fleet before it takes down
-/// many engines, and no other request with it.
+/// A request crashes the engine that runs it, and its caller retries it, each time at another
+/// host. Requests of other callers fail with those engines and are retried too. All hosts
+/// must refuse the crashing request before it crashes more than 4 engines, and must refuse
+/// no other request.
 #[tokio::test]
-async fn a_poisonous_request_is_refused_and_innocents_are_not() {
+async fn a_crashing_request_is_quarantined_and_others_are_served() {
     let mut engines = Vec::new();
     let mut specs = Vec::new();
     for index in 0..4 {
@@ -41,11 +41,11 @@
         engines.push(engine);
     }
     let fleet = fleet(specs).await;
-    let over = Arc::new(AtomicBool::new(false));
-    let innocents: Vec<_> = (0..6)
+    let stopped = Arc::new(AtomicBool::new(false));
+    let ordinary: Vec<_> = (0..6)
         .map(|index: usize| {
-            let (address, over) = (fleet.hosts[index % 3].address, over.clone());
-            tokio::spawn(innocent(address, format!("cow {index}"), over))
+            let (address, stopped) = (fleet.hosts[index % 3].address, stopped.clone());
+            tokio::spawn(send_repeatedly(address, format!("cow {index}"), stopped))
         })
         .collect();
     let served = || {
@@ -54,16 +54,16 @@
             .map(|engine| engine.executions().len())
             .sum::<usize>()
     };
-    until("innocents are served", || served() > 12).await;
+    until("ordinary requests are served", || served() > 12).await;
     let mut lost = 0;
     let deadline = Instant::now() + WAIT;
     let refused = loop {
-        let answer = ask(fleet.hosts[lost % 3].address, "POISON summary").await;
+        let answer = complete(fleet.hosts[lost % 3].address, "POISON summary").await;
         if answer.status == StatusCode::UNPROCESSABLE_ENTITY {
             break answer;
         }
         lost += usize::from(answer.status == StatusCode::BAD_GATEWAY);
-        assert!(lost <= MOST_LOST, "{lost} backend servers lost");
+        assert!(lost <= MAX_LOST_BACKENDS, "{lost} backend servers lost");
         assert!(Instant::now() < deadline, "not refused in time");
         sleep(Duration::from_secs(1)).await;
     };
@@ -72,26 +72,34 @@
         ("quarantined".into(), "not-run".into())
     );
     assert_eq!(refused.json()["rule_line"], 18);
-    // The others hear of it by themselves, without losing a backend server.
+    // The other hosts receive the quarantine from their peers, without a further crash.
     let before = served();
     for host in &fleet.hosts {
-        let answer = ask(host.address, "POISON summary").await;
+        let answer = complete(host.address, "POISON summary").await;
         assert_eq!(answer.status, StatusCode::UNPROCESSABLE_ENTITY);
     }
-    until("innocents are still served", || served() > before + 12).await;
-    over.store(true, Ordering::Relaxed);
+    until("ordinary requests are still served", || {
+        served() > before + 12
+    })
+    .await;
+    stopped.store(true, Ordering::Relaxed);
     let mut retried = 0;
-    for innocent in innocents {
-        retried += innocent.await.expect("no innocent is refused");
+    for task in ordinary {
+        retried += task.await.expect("no ordinary request is refused");
     }
-    eprintln!("backend servers lost: {lost}, innocents sent again: {retried}, refused: 0");
+    eprintln!("backend servers lost: {lost}, ordinary requests retried: {retried}, refused: 0");
 }
 
-/// Sends one text for ever, again when its engine died, and gives how often that was.
-async fn innocent(address: std::net::SocketAddr, text: String, over: Arc<AtomicBool>) -> usize {
+/// Sends one prompt repeatedly until `stopped` is set, and returns how many responses were
+/// incomplete.
+async fn send_repeatedly(
+    address: std::net::SocketAddr,
+    text: String,
+    stopped: Arc<AtomicBool>,
+) -> usize {
     let mut retried = 0;
-    while !over.load(Ordering::Relaxed) {
-        let answer = ask(address, &text).await;
+    while !stopped.load(Ordering::Relaxed) {
+        let answer = complete(address, &text).await;
         assert_ne!(
             answer.status,
             StatusCode::UNPROCESSABLE_ENTITY,
--- a/crates/jaypin_bench/tests/rules_spread.rs
+++ b/crates/jaypin_bench/tests/rules_spread.rs
@@ -1,4 +1,5 @@
-//! Rules and host list reach every host, never go back, and cost the platform little.
+//! Rules and host list reach every host and never revert, also under platform faults. Only
+//! some hosts watch the platform, which limits its load.
 
 mod common;
 
@@ -28,19 +29,19 @@
     fleet
 }
 
-/// Nine hosts, of which six watch the platform. An accepted rule file has to be in force
-/// on the three others too, or they would serve by old rules for good.
+/// Six of nine hosts watch the platform. An accepted rule file must also reach the three
+/// others, or they would apply old rules indefinitely.
 #[tokio::test]
-async fn hosts_that_do_not_watch_hear_from_those_that_do() {
+async fn hosts_that_do_not_watch_receive_rules_from_peers() {
     let fleet = fleet(9).await;
     let version = fleet.publish_rules(RULES);
     until_in_force(&fleet, version).await;
 }
 
-/// The platform goes out for good just as a host starts again. The host has no disk: it
-/// must learn rules and hosts from the peers in its settings, and serve.
+/// The platform becomes unavailable while a host restarts. The host stores nothing on disk,
+/// so it must load rules and hosts from the peers in its settings and become ready.
 #[tokio::test]
-async fn a_host_starts_from_peers_while_the_platform_is_out() {
+async fn a_host_starts_from_peers_while_the_platform_is_down() {
     let mut fleet = Fleet::prepare(FleetConfig::default()).await.expect("fleet");
     let peers = [fleet.hosts[0].link, fleet.hosts[1].link];
     let peers = format!("peers: [\"{}\", \"{}\"]\n", peers[0], peers[1]);
@@ -59,8 +60,8 @@
     assert_eq!(rules_version(&fleet.hosts[2]).await, version);
 }
 
-/// Two versions were accepted. The platform answers from an old copy while a host
-/// starts again: it must not serve by the old version for a moment.
+/// Two versions were accepted, and the platform returns an old copy while a host restarts.
+/// The host must not become ready with the old version.
 #[tokio::test]
 async fn a_restarted_host_is_not_ready_with_an_old_copy() {
     let mut fleet = fleet(3).await;
@@ -73,15 +74,16 @@
     assert_eq!(rules_version(&fleet.hosts[1]).await, version);
 }
 
-/// The platform answers old copies while rules are in force: no host goes back.
+/// The platform returns old copies while newer rules are in force. No host may revert to
+/// the old version.
 #[tokio::test]
-async fn an_old_copy_reverts_nothing() {
+async fn a_stale_read_does_not_revert_rules() {
     let fleet = fleet(3).await;
     let version = fleet.publish_rules(RULES);
     until_in_force(&fleet, version).await;
     fleet.platform.set_fault(Fault::StaleReads);
     let calls = fleet.platform.calls().watches;
-    until("more old answers", || async {
+    until("more stale reads", || async {
         fleet.platform.calls().watches > calls + 12
     })
     .await;
@@ -90,10 +92,10 @@
     }
 }
 
-/// Something between hosts and platform loses track of open connections: watches hang
-/// without an error. They must be given up, and new ones bring the new version.
+/// A network device drops the state of the connections to the platform, so watches hang
+/// without an error. They must time out, and new watches must return the new version.
 #[tokio::test]
-async fn a_silent_watch_is_given_up() {
+async fn a_silent_watch_is_replaced() {
     let mut fleet = Fleet::prepare(FleetConfig::default()).await.expect("fleet");
     let proxy = Proxy::start("127.0.0.1:0", fleet.platform.address)
         .await
@@ -105,7 +107,7 @@
         host.start().expect("started");
     }
     until_all_alive(&fleet).await;
-    // Each of the three hosts reads two keys once and then waits on both.
+    // Each of the three hosts reads two keys once and then watches both.
     until("all wait on watches", || async {
         fleet.platform.calls().watches >= 2 * 2 * 3
     })
--- a/crates/jaypin_bench/tests/status.rs
+++ b/crates/jaypin_bench/tests/status.rs
@@ -1,4 +1,4 @@
-//! What `jaypin status` and `jaypin drain` show and do.
+//! The commands `jaypin status` and `jaypin drain`.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     serde_json::from_str(&done.stdout).expect("JSON")
 }
 
-/// Asks a host again and again until its status is as expected.
+/// Polls a host's status until it is as expected, and returns it.
 async fn until(fleet: &Fleet, host: usize, expected: impl Fn(&Value) -> bool) -> Value {
     for _ in 0..400 {
         let found = status(fleet, host).await;
@@ -38,11 +38,11 @@
     assert_eq!(first["quarantined_requests"], 0);
     let mut shards = Vec::new();
     for host in 0..fleet.hosts.len() {
-        let as_counted = |status: &Value| {
+        let has_all_shards = |status: &Value| {
             let shown = status["shards"].as_array().expect("shards");
             status["shards_led"] == shown.len()
         };
-        let found = until(&fleet, host, as_counted).await;
+        let found = until(&fleet, host, has_all_shards).await;
         shards.extend(found["shards"].as_array().expect("shards").clone());
     }
     shards.sort_by_key(|shard| shard["shard"].to_string());
@@ -57,13 +57,14 @@
     let fleet = Fleet::start(FleetConfig::default()).await.expect("fleet");
     until(&fleet, 0, |status| state_of(status, "host-2") == "alive").await;
     fleet.hosts[2].signal("STOP");
-    let is_noticed = |status: &Value| ["suspect", "dead"].contains(&&*state_of(status, "host-2"));
-    until(&fleet, 0, is_noticed).await;
+    let is_suspect_or_dead =
+        |status: &Value| ["suspect", "dead"].contains(&&*state_of(status, "host-2"));
+    until(&fleet, 0, is_suspect_or_dead).await;
     fleet.hosts[2].signal("CONT");
 }
 
 #[tokio::test]
-async fn a_drained_host_ends_by_itself() {
+async fn a_drained_host_exits() {
     let mut fleet = Fleet::start(FleetConfig::default()).await.expect("fleet");
     let address = fleet.hosts[1].operator.to_string();
     let done = jaypin(&["drain", "--host", &address], None).await;
--- a/crates/jaypin_bench/tests/succession.rs
+++ b/crates/jaypin_bench/tests/succession.rs
@@ -1,4 +1,4 @@
-//! A shard's leader goes while requests wait and run: every caller gets its answer.
+//! A shard's leader fails while requests wait and run, and every caller gets its answer.
 
 mod common;
 
@@ -45,12 +45,12 @@
     format!("request {index}")
 }
 
-/// Sends requests through all hosts but one.
-fn send(fleet: &Fleet, not: usize) -> JoinSet<(usize, Answer)> {
+/// Sends requests through all hosts except `excluded`.
+fn send(fleet: &Fleet, excluded: usize) -> JoinSet<(usize, Answer)> {
     let mut requests = JoinSet::new();
     let hosts = fleet.hosts.iter().enumerate();
     let addresses: Vec<_> = hosts
-        .filter(|(index, _)| *index != not)
+        .filter(|(index, _)| *index != excluded)
         .map(|(_, host)| host.address)
         .collect();
     for index in 0..REQUESTS {
@@ -65,7 +65,7 @@
     requests
 }
 
-/// Every answer is whole and its own, and nothing ran twice.
+/// Checks that every request gets its own complete answer, and that none ran twice.
 async fn check(fleet: &Fleet, mut requests: JoinSet<(usize, Answer)>) {
     while let Some(answered) = timeout(MAX_WAIT, requests.join_next())
         .await
@@ -85,25 +85,26 @@
     assert_eq!(distinct.len(), REQUESTS);
 }
 
-/// Requests run and wait when the leader's process is killed. Without a successor that
-/// owners report to, those that wait are refused or never answered.
+/// The leader's process is killed while requests run and wait. Without a successor to which
+/// the owners report, waiting requests would be refused or never answered.
 #[tokio::test]
-async fn a_killed_leader_costs_nobody_an_answer() {
+async fn every_request_is_answered_after_the_leader_is_killed() {
     let mut fleet = fleet().await;
     let leader = leader(&fleet).await;
     let requests = send(&fleet, leader);
-    until("some run", || async { ran(&fleet) > 10 }).await;
+    until("some run", || async { execution_count(&fleet) > 10 }).await;
     fleet.hosts[leader].kill();
     check(&fleet, requests).await;
 }
 
-/// The leader is frozen instead, and thaws while its successor serves.
+/// The leader is frozen while requests run and wait, and resumes while its successor leads.
+/// Two leaders at a time must not run a request twice.
 #[tokio::test]
-async fn a_frozen_leader_costs_nobody_an_answer() {
+async fn every_request_is_answered_after_the_leader_is_frozen() {
     let fleet = fleet().await;
     let leader = leader(&fleet).await;
     let requests = send(&fleet, leader);
-    until("some run", || async { ran(&fleet) > 10 }).await;
+    until("some run", || async { execution_count(&fleet) > 10 }).await;
     fleet.hosts[leader].signal("STOP");
     until("another leads", || async {
         for (index, host) in fleet.hosts.iter().enumerate() {
@@ -119,7 +120,7 @@
     until_all_alive(&fleet).await;
 }
 
-fn ran(fleet: &Fleet) -> usize {
+fn execution_count(fleet: &Fleet) -> usize {
     let engines = fleet.engines.iter();
     engines.map(|engine| engine.executions().len()).sum()
 }
--- a/crates/jaypin_bench/tests/torture.rs
+++ b/crates/jaypin_bench/tests/torture.rs
@@ -1,13 +1,13 @@
-//! A short run under a fixed seed of faults; longer ones are made by hand.
+//! A short run with faults from a fixed seed; longer runs are started manually.
 
 use std::time::Duration;
 
 use jaypin_bench::torture::{TortureConfig, torture};
 
-/// Callers ask streams, whole answers, commands and look-ups while hosts are killed,
-/// frozen and told to leave, links and backend servers are cut or fall silent, the
-/// platform is out, slow or stale, engines crash and rules change. Whatever comes
-/// together, the history of the run has to keep every promise.
+/// Callers request streams, unstreamed answers, commands and look-ups while hosts are killed,
+/// frozen and shut down, links and backend servers are cut or become silent, the platform is
+/// down, slow or stale, engines crash and rules change. Under every combination of these
+/// faults, the history of the run must contain no violation of a promise.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_short_run_under_faults_keeps_every_promise() {
     let cfg = TortureConfig {
