--- a/crates/jaypin_bench/tests/operators.rs
+++ b/crates/jaypin_bench/tests/operators.rs
@@ -1,4 +1,5 @@
-//! What operators do to a running fleet, by the real command line.
+//! Operators change the rules of a running fleet and read its audit trail with the real
+//! command line.
 
 use std::path::PathBuf;
 
@@ -9,13 +10,13 @@
 /// The rule file that the fleet starts with.
 const RULES: &str = jaypin_bench::RULES;
 
-/// A fleet and a directory for rule files.
-struct Bench {
+/// A fleet, and a directory for rule files that is removed on drop.
+struct TestSetup {
     fleet: Fleet,
     directory: PathBuf,
 }
 
-impl Bench {
+impl TestSetup {
     async fn start() -> Self {
         Self::start_hosts(2).await
     }
@@ -67,7 +68,7 @@
     }
 }
 
-impl Drop for Bench {
+impl Drop for TestSetup {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.directory);
     }
@@ -77,19 +78,20 @@
     format!("{RULES}- {{account: {name}}}  # asked by: {requester}\n")
 }
 
-/// Two operators edit the same version and apply at the same time. One must win; the
-/// other must see whose change came first and what it holds, and keep its file.
+/// Two operators edit the same version and apply at the same time. Only one change may be
+/// accepted; the other operator must see who made the accepted change and what it contains,
+/// and keeps the rejected file.
 #[tokio::test]
-async fn of_two_racing_operators_one_wins_and_the_other_sees_why() {
-    let bench = Bench::start().await;
-    let one = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
-    let other = bench.file(
+async fn of_two_concurrent_changes_one_is_accepted_and_the_other_refused() {
+    let setup = TestSetup::start().await;
+    let one = setup.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
+    let other = setup.file(
         "other.yaml",
         &with_account("farm-two", "sales, contract 12"),
     );
     let (ann, bo) = tokio::join!(
-        bench.apply(&one, "1", "ann"),
-        bench.apply(&other, "1", "bo")
+        setup.apply(&one, "1", "ann"),
+        setup.apply(&other, "1", "bo")
     );
     let (winner, loser, author, added) = if ann.code == Some(0) {
         (ann, bo, "ann", "farm-one")
@@ -110,27 +112,27 @@
     );
     assert!(loser.stderr.contains(&format!("was changed by {author}")));
     assert!(loser.stderr.contains(&format!("{{account: {added}}}")));
-    assert_eq!(bench.rules_versions().await, [2, 2]);
-    let entries = bench.audit().await;
+    assert_eq!(setup.rules_versions().await, [2, 2]);
+    let entries = setup.audit().await;
     let count = |kind: &str| entries.iter().filter(|entry| entry["kind"] == kind).count();
     assert_eq!((count("accepted"), count("lost-race")), (1, 1));
 }
 
-/// The platform takes a write and its answer is lost. The operator must learn that the
-/// change is in force, and it must not be written a second time.
+/// The platform applies a write and its response is lost. The command must report that the
+/// change is in force, and must not write it a second time.
 #[tokio::test]
-async fn a_write_whose_answer_is_lost_is_settled() {
-    let bench = Bench::start().await;
-    let file = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
-    bench.fleet.platform.set_fault(Fault::LoseWriteResponses);
-    let done = bench.apply(&file, "1", "ann").await;
+async fn a_write_whose_response_is_lost_is_confirmed() {
+    let setup = TestSetup::start().await;
+    let file = setup.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
+    setup.fleet.platform.set_fault(Fault::LoseWriteResponses);
+    let done = setup.apply(&file, "1", "ann").await;
     assert_eq!(done.code, Some(0), "{}", done.stderr);
     assert!(
         done.stdout
             .contains("version 2 is in force on 2 of 2 hosts")
     );
-    assert_eq!(bench.rules_versions().await, [2, 2]);
-    let kinds: Vec<Value> = bench
+    assert_eq!(setup.rules_versions().await, [2, 2]);
+    let kinds: Vec<Value> = setup
         .audit()
         .await
         .iter()
@@ -139,17 +141,17 @@
     assert_eq!(kinds, ["proposed", "accepted"]);
 }
 
-/// A host is frozen while a change is applied. The operator must be told which host
-/// does not have the change, and must not believe that it is in force everywhere.
+/// A host is frozen while a change is applied. The command must name the host that does not
+/// have the change, and must not report that the change is in force everywhere.
 #[tokio::test]
 async fn a_host_that_does_not_report_the_version_is_named() {
-    let bench = Bench::start().await;
-    let file = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
-    bench.fleet.hosts[1].signal("STOP");
+    let setup = TestSetup::start().await;
+    let file = setup.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
+    setup.fleet.hosts[1].signal("STOP");
     let args = ["rules", "apply", &file, "--edited-from", "1"];
     let more = ["--author", "ann", "--timeout", "3"];
-    let done = bench.jaypin(&[&args[..], &more].concat()).await;
-    bench.fleet.hosts[1].signal("CONT");
+    let done = setup.jaypin(&[&args[..], &more].concat()).await;
+    setup.fleet.hosts[1].signal("CONT");
     assert_eq!(done.code, Some(1));
     assert!(done.stdout.contains("version 2 is accepted"));
     assert!(
@@ -161,14 +163,14 @@
 
 #[tokio::test]
 async fn a_wrong_file_changes_nothing_and_is_in_the_audit_trail() {
-    let bench = Bench::start().await;
+    let setup = TestSetup::start().await;
     let wrong = include_str!("../../jaypin_rules/tests/wrong-rules.yaml");
-    let file = bench.file("wrong.yaml", wrong);
-    let done = bench.apply(&file, "1", "ann").await;
+    let file = setup.file("wrong.yaml", wrong);
+    let done = setup.apply(&file, "1", "ann").await;
     assert_eq!(done.code, Some(2));
     assert!(done.stderr.contains("30 mistakes, nothing was changed"));
-    assert_eq!(bench.rules_versions().await, [1, 1]);
-    let entries = bench.audit().await;
+    assert_eq!(setup.rules_versions().await, [1, 1]);
+    let entries = setup.audit().await;
     assert_eq!(entries.len(), 1);
     assert_eq!(entries[0]["kind"], "refused");
     assert_eq!(entries[0]["author"], "ann");
@@ -176,21 +178,21 @@
     assert!(!text.contains("a-secret-credential"), "{text}");
 }
 
-/// Each accepted change can be traced from the trail to who asked for it, and a change
-/// that adds no rule has to name a requester.
+/// The audit trail names the requester of each accepted change. A change that adds no rule
+/// carries no requester in its text, so the command must require one.
 #[tokio::test]
 async fn a_change_is_traced_to_its_requester() {
-    let bench = Bench::start().await;
-    let added = bench.file(
+    let setup = TestSetup::start().await;
+    let added = setup.file(
         "added.yaml",
         &with_account("farm-one", "sales, contract 11"),
     );
-    let before = bench.fleet.platform.calls();
-    assert_eq!(bench.apply(&added, "1", "ann").await.code, Some(0));
-    let after = bench.fleet.platform.calls();
+    let before = setup.fleet.platform.calls();
+    assert_eq!(setup.apply(&added, "1", "ann").await.code, Some(0));
+    let after = setup.fleet.platform.calls();
     assert_eq!(after.writes - before.writes, 3);
-    let removed = bench.file("removed.yaml", RULES);
-    assert_eq!(bench.apply(&removed, "2", "bo").await.code, Some(2));
+    let removed = setup.file("removed.yaml", RULES);
+    assert_eq!(setup.apply(&removed, "2", "bo").await.code, Some(2));
     let args = [
         "rules",
         "apply",
@@ -201,8 +203,8 @@
         "bo",
     ];
     let named = [&args[..], &["--asked-by", "sales, end of contract 11"]].concat();
-    assert_eq!(bench.jaypin(&named).await.code, Some(0));
-    let entries = bench.audit().await;
+    assert_eq!(setup.jaypin(&named).await.code, Some(0));
+    let entries = setup.audit().await;
     let proposed: Vec<_> = entries
         .iter()
         .filter(|entry| entry["kind"] == "proposed")
@@ -215,25 +217,25 @@
     assert_eq!(proposed[1]["difference"][0], format!("-{line}: {rule}"));
 }
 
-/// Someone with access to the platform changes who applied a change. The next check of
-/// the trail must name the place.
+/// Someone with access to the platform changes the author of an entry. The next verification
+/// must report the entry whose digest does not match.
 #[tokio::test]
-async fn a_tampered_audit_trail_is_found() {
-    let bench = Bench::start().await;
+async fn a_tampered_audit_trail_is_detected() {
+    let setup = TestSetup::start().await;
     for (version, author) in [("1", "ann"), ("2", "bo")] {
         let text = with_account(&format!("farm-{author}"), "sales, contract 11");
-        let file = bench.file("rules.yaml", &text);
-        assert_eq!(bench.apply(&file, version, author).await.code, Some(0));
+        let file = setup.file("rules.yaml", &text);
+        assert_eq!(setup.apply(&file, version, author).await.code, Some(0));
     }
-    let before = bench.jaypin(&["audit", "--verify"]).await;
+    let before = setup.jaypin(&["audit", "--verify"]).await;
     assert_eq!(before.code, Some(0), "{}", before.stderr);
-    let (_, segment) = bench.fleet.platform.get("audit/0").expect("a segment");
+    let (_, segment) = setup.fleet.platform.get("audit/0").expect("a segment");
     let text = String::from_utf8(segment.to_vec()).expect("text");
-    bench
+    setup
         .fleet
         .platform
         .put("audit/0", text.replace("ann", "eve"));
-    let after = bench.jaypin(&["audit", "--verify"]).await;
+    let after = setup.jaypin(&["audit", "--verify"]).await;
     assert_eq!(after.code, Some(1));
     assert!(
         after
@@ -242,55 +244,55 @@
     );
 }
 
-/// Someone cuts the newest entries off. The chain that is left holds together, so it
-/// shows against the last digest, noted outside the platform, and against the rules.
+/// Someone removes the newest entries. The remaining chain is consistent, so the removal is
+/// visible only against the rules and against the last digest, kept outside the platform.
 #[tokio::test]
-async fn entries_cut_off_the_end_are_found() {
-    let bench = Bench::start().await;
-    let file = bench.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
-    assert_eq!(bench.apply(&file, "1", "ann").await.code, Some(0));
-    let noted = bench.jaypin(&["audit", "--verify"]).await;
-    let digest = noted
+async fn entries_removed_from_the_end_are_detected() {
+    let setup = TestSetup::start().await;
+    let file = setup.file("one.yaml", &with_account("farm-one", "sales, contract 11"));
+    assert_eq!(setup.apply(&file, "1", "ann").await.code, Some(0));
+    let verified = setup.jaypin(&["audit", "--verify"]).await;
+    let digest = verified
         .stderr
         .trim()
         .rsplit(' ')
         .next()
         .expect("a digest")
         .to_owned();
-    let kept = bench
+    let intact = setup
         .jaypin(&["audit", "--verify", "--expect", &digest])
         .await;
-    assert_eq!(kept.code, Some(0), "{}", kept.stderr);
-    bench.fleet.platform.put("audit/0", r#"{"entries":[]}"#);
-    let cut = bench.jaypin(&["audit", "--verify"]).await;
+    assert_eq!(intact.code, Some(0), "{}", intact.stderr);
+    setup.fleet.platform.put("audit/0", r#"{"entries":[]}"#);
+    let cut = setup.jaypin(&["audit", "--verify"]).await;
     assert!(cut.stderr.contains("is not in the trail"), "{}", cut.stderr);
-    let cut = bench
+    let cut = setup
         .jaypin(&["audit", "--verify", "--expect", &digest])
         .await;
     assert_eq!(cut.code, Some(1));
     assert!(cut.stderr.contains("no entry has the expected digest"));
 }
 
-/// Many refused changes fill the trail. The platform takes a megabyte a value, so the
-/// trail must go on in a new object, and hold together over both.
+/// Many refused changes fill the trail. The platform accepts values of up to 1 MiB, so the
+/// trail must continue in a new object, and its chain must be valid across both.
 #[tokio::test]
-async fn a_long_audit_trail_goes_on_in_a_new_object() {
-    let bench = Bench::start().await;
+async fn a_long_audit_trail_continues_in_a_new_object() {
+    let setup = TestSetup::start().await;
     let long = format!(
         "{}- wrong\n",
         "# a remark of forty letters and some more\n".repeat(6_000)
     );
-    let file = bench.file("long.yaml", &long);
+    let file = setup.file("long.yaml", &long);
     for _ in 0..6 {
-        assert_eq!(bench.apply(&file, "1", "ann").await.code, Some(2));
+        assert_eq!(setup.apply(&file, "1", "ann").await.code, Some(2));
     }
-    let done = bench.jaypin(&["audit", "--verify"]).await;
+    let done = setup.jaypin(&["audit", "--verify"]).await;
     assert!(
         done.stderr.contains("6 entries hold together"),
         "{}",
         done.stderr
     );
-    let (_, second) = bench
+    let (_, second) = setup
         .fleet
         .platform
         .get("audit/1")
@@ -298,12 +300,12 @@
     assert!(second.len() < 1 << 20);
 }
 
-/// The rules of 17,000 accounts are three times as long as the platform's values may be.
-/// The change must be in force as a whole on hosts that watch the platform and on those
-/// that hear of it from peers, and a small change must not write all of it again.
+/// The rules of 17,000 accounts are three times as long as the platform's value limit. The
+/// whole change must be in force both on hosts that watch the platform and on those that
+/// receive it from peers, and a small change must not rewrite all objects.
 #[tokio::test]
 async fn rules_that_exceed_one_object_are_in_force_on_every_host() {
-    let bench = Bench::start_hosts(8).await;
+    let setup = TestSetup::start_hosts(8).await;
     let mut text = RULES.to_owned();
     for number in 0..17_000 {
         let digest = jaypin_rules::digest_credential(&number.to_string());
@@ -313,16 +315,16 @@
         ];
         text.push_str(&rules.concat());
     }
-    let large = bench.file("large.yaml", &text);
-    let done = bench.apply(&large, "1", "ann").await;
+    let large = setup.file("large.yaml", &text);
+    let done = setup.apply(&large, "1", "ann").await;
     assert_eq!(done.code, Some(0), "{}", done.stderr);
     assert!(done.stdout.contains("in force on 8 of 8 hosts"));
-    let before = bench.fleet.platform.calls().writes;
+    let before = setup.fleet.platform.calls().writes;
     text.push_str("- {account: last}  # asked by: sales\n");
-    let larger = bench.file("larger.yaml", &text);
-    assert_eq!(bench.apply(&larger, "2", "ann").await.code, Some(0));
-    let writes = bench.fleet.platform.calls().writes - before;
+    let larger = setup.file("larger.yaml", &text);
+    assert_eq!(setup.apply(&larger, "2", "ann").await.code, Some(0));
+    let writes = setup.fleet.platform.calls().writes - before;
     assert_eq!(writes, 4, "two of the trail, one part, one object");
-    let shown = bench.jaypin(&["rules", "show"]).await;
+    let shown = setup.jaypin(&["rules", "show"]).await;
     assert_eq!(shown.stdout, text);
 }
