--- a/crates/jaypin_bench/examples/members.rs
+++ b/crates/jaypin_bench/examples/members.rs
@@ -86,7 +86,6 @@
 }
 
 /// Returns a number from an operator page of a host, or 0 if it can't be read.
-
 async fn page_number(host: &Host, page: &str, name: &str) -> u64 {
     let page = host.page(page).await;
     page.and_then(|(_, body)| body[name].as_u64())
@@ -210,8 +209,10 @@
         stale.is_ok()
     );
     fleet.platform.set_fault(Fault::None);
-    println!("  after stale reads: {:.0?}",
-        measure_activation(&mut fleet).await?);
+    println!(
+        "  after stale reads: {:.0?}",
+        measure_activation(&mut fleet).await?
+    );
 
     let last = hosts - 1;
     fleet.hosts[last].kill();
@@ -233,7 +234,6 @@
 }
 
 /// Writes the rules and returns the time until every host has them in force.
-
 async fn measure_activation(fleet: &mut Fleet) -> Result<Duration, AnyError> {
     let start = Instant::now();
     let version = fleet.publish_rules(RULES);
--- a/crates/jaypin_bench/src/torture/faults.rs
+++ b/crates/jaypin_bench/src/torture/faults.rs
@@ -165,7 +165,8 @@
                 true
             }
             Fault::PlatformOut => self.set_platform_fault(PlatformFault::Unavailable),
-            Fault::PlatformSlow => { self.set_platform_fault(PlatformFault::Slow(SLOW_PLATFORM_DELAY))
+            Fault::PlatformSlow => {
+                self.set_platform_fault(PlatformFault::Slow(SLOW_PLATFORM_DELAY))
             }
             Fault::PlatformStale => self.set_platform_fault(PlatformFault::StaleReads),
             Fault::SilencePlatform => self.set_platform_proxy(ProxyMode::BlackholeOpen),
@@ -175,7 +176,6 @@
     }
 
     /// Undoes a fault; returns after a leaving host has exited and was restarted.
-
     async fn end(&mut self, fault: Fault) {
         match fault {
             Fault::KillHost(target) => self.start(target),
@@ -296,9 +296,14 @@
             .iter()
             .enumerate()
             .filter(|(other, one)| {
-                *other != target && !one.leaving && one.service == self.fleet.backends[target].service
+                *other != target
+                    && !one.leaving
+                    && one.service == self.fleet.backends[target].service
             });
-        if self.platform_fault_count > 0 || others.count() == 0 || self.fleet.backends[target].leaving {
+        if self.platform_fault_count > 0
+            || others.count() == 0
+            || self.fleet.backends[target].leaving
+        {
             return false;
         }
         self.fleet.backends[target].leaving = true;
--- a/crates/jaypin_bench/tests/poison.rs
+++ b/crates/jaypin_bench/tests/poison.rs
@@ -68,7 +68,9 @@
         sleep(Duration::from_secs(1)).await;
     };
     assert_eq!(
-        reason_and_outcome(&refused), ("quarantined".into(), "not-run".into()));
+        reason_and_outcome(&refused),
+        ("quarantined".into(), "not-run".into())
+    );
     assert_eq!(refused.json()["rule_line"], 18);
     // The other hosts receive the quarantine from their peers, without a further crash.
     let before = served();
@@ -76,8 +78,10 @@
         let answer = complete(host.address, "POISON summary").await;
         assert_eq!(answer.status, StatusCode::UNPROCESSABLE_ENTITY);
     }
-    until("ordinary requests are still served", || { served() > before + 12
-    }).await;
+    until("ordinary requests are still served", || {
+        served() > before + 12
+    })
+    .await;
     stopped.store(true, Ordering::Relaxed);
     let mut retried = 0;
     for task in ordinary {
@@ -88,8 +92,11 @@
 
 /// Sends one prompt repeatedly until `stopped` is set, and returns how many responses were
 /// incomplete.
-async fn send_repeatedly(address: std::net::SocketAddr, text: String,
-    stopped: Arc<AtomicBool>,) -> usize {
+async fn send_repeatedly(
+    address: std::net::SocketAddr,
+    text: String,
+    stopped: Arc<AtomicBool>,
+) -> usize {
     let mut retried = 0;
     while !stopped.load(Ordering::Relaxed) {
         let answer = complete(address, &text).await;
--- a/crates/jaypin_bench/tests/whole_answers.rs
+++ b/crates/jaypin_bench/tests/whole_answers.rs
@@ -9,7 +9,8 @@
 use jaypin_bench::{Answer, Client, completion_body};
 use jaypin_standin::{Engine, EngineConfig, Proxy, ProxyMode, expected_answer};
 use support::{
-    GATE, app, engine, fleet, key_from, open_gate, reason_and_outcome, spec, start_gate, until, yilan,
+    GATE, app, engine, fleet, key_from, open_gate, reason_and_outcome, spec, start_gate, until,
+    yilan,
 };
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
@@ -107,8 +108,10 @@
     let fleet = fleet(vec![spec("engine-0", proxy.address, "chat")]).await;
     proxy.set(ProxyMode::BlackholeDown);
     let call = start_stream(&yilan(fleet.hosts[0].address), "cow 1", 5);
-    until("the engine generated all tokens", || { generated(&engine) == 5
-    }).await;
+    until("the engine generated all tokens", || {
+        generated(&engine) == 5
+    })
+    .await;
     proxy.set(ProxyMode::Pass);
     let answer = call.await.expect("no panic").expect("an answer");
     assert_complete(&answer, "cow 1", 5);
@@ -259,6 +262,8 @@
     proxy.set(ProxyMode::Pass);
     let again = open_gate(&client, &key).await.expect("an answer");
     assert_eq!(
-        reason_and_outcome(&again), ("key-unknown".into(), "unknown".into()));
+        reason_and_outcome(&again),
+        ("key-unknown".into(), "unknown".into())
+    );
     assert_eq!(app.calls().len(), 1, "{GATE}: {:?}", app.calls());
 }
