--- a/crates/jaypin/src/backend_call/buffered.rs
+++ b/crates/jaypin/src/backend_call/buffered.rs
@@ -31,7 +31,7 @@
     let body = match timeout(remaining, body.collect()).await {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => return outcome_of_disconnect(cx).await,
-        Err(_) => return CallOutcome::ConnectionLost,
+        Err(_) => return CallOutcome::Lost,
     };
     let bytes = body.to_bytes();
     cx.report(CallProgress::FirstToken);
@@ -56,8 +56,8 @@
 /// refuses a new connection, otherwise only the connection was lost.
 pub async fn outcome_of_disconnect(cx: &Cx<'_>) -> CallOutcome {
     match connect(&cx.call.address).await {
-        Err(ConnectError::Refused) => CallOutcome::BackendCrashed,
-        Ok(_) | Err(_) => CallOutcome::ConnectionLost,
+        Err(ConnectError::Refused) => CallOutcome::Died,
+        Ok(_) | Err(_) => CallOutcome::Lost,
     }
 }
 
--- a/crates/jaypin/src/backend_call/mod.rs
+++ b/crates/jaypin/src/backend_call/mod.rs
@@ -147,7 +147,7 @@
             return Some(stream::forward(cx, forwarded, FirstAttempt::TimedOut).await);
         }
         Ok(Err(_)) => return Some(buffered::outcome_of_disconnect(cx).await),
-        Err(_) => return Some(CallOutcome::ConnectionLost),
+        Err(_) => return Some(CallOutcome::Lost),
     };
     if response.status().is_server_error() {
         return Some(CallOutcome::Failed);
--- a/crates/jaypin/src/backend_call/stream.rs
+++ b/crates/jaypin/src/backend_call/stream.rs
@@ -80,7 +80,7 @@
             resumes + 1
         };
         if resumes > MAX_RESUMES {
-            return CallOutcome::ConnectionLost;
+            return CallOutcome::Lost;
         }
         sleep(RESUME_PAUSE * 2_u32.pow(resumes - 1)).await;
         let path = format!("/v1/streams/{}?offset={}", cx.call.id, forwarded.tokens);
@@ -89,12 +89,12 @@
             // An engine that restarted does not know its earlier streams.
             Ok(Some(response)) if response.status() == StatusCode::NOT_FOUND => {
                 return if was_disconnected {
-                    CallOutcome::BackendCrashed
+                    CallOutcome::Died
                 } else {
-                    CallOutcome::ConnectionLost
+                    CallOutcome::Lost
                 };
             }
-            Err(ConnectError::Refused) if was_disconnected => return CallOutcome::BackendCrashed,
+            Err(ConnectError::Refused) if was_disconnected => return CallOutcome::Died,
             Ok(_) | Err(_) => {}
         }
     }
--- a/crates/jaypin/src/metrics/mod.rs
+++ b/crates/jaypin/src/metrics/mod.rs
@@ -73,8 +73,8 @@
 fn outcome_label(outcome: CallOutcome) -> &'static str {
     match outcome {
         CallOutcome::Complete => "complete",
-        CallOutcome::ConnectionLost => "lost",
-        CallOutcome::BackendCrashed => "died",
+        CallOutcome::Lost => "lost",
+        CallOutcome::Died => "died",
         CallOutcome::Failed => "failed",
         CallOutcome::Cancelled => "cancelled",
     }
--- a/crates/jaypin_core/src/event.rs
+++ b/crates/jaypin_core/src/event.rs
@@ -97,9 +97,9 @@
     /// The complete response was forwarded to the caller.
     Complete,
     /// The connection was closed early, or no more data was received until the timeout.
-    ConnectionLost,
+    Lost,
     /// The backend server crashed during the call.
-    BackendCrashed,
+    Died,
     /// The backend server responded with an error.
     Failed,
     /// The caller disconnected.
--- a/crates/jaypin_core/src/reducer/calls.rs
+++ b/crates/jaypin_core/src/reducer/calls.rs
@@ -154,15 +154,12 @@
         let progress = SlotProgress::Finished {
             tokens,
             after: now.duration_since(request.state.sent_at),
-            lost: matches!(
-                outcome,
-                CallOutcome::ConnectionLost | CallOutcome::BackendCrashed
-            ),
+            lost: matches!(outcome, CallOutcome::Lost | CallOutcome::Died),
         };
         if let Some((leader, message)) = slot_progress_message(&request, progress) {
             self.send(&leader, message, fx);
         }
-        if outcome == CallOutcome::BackendCrashed {
+        if outcome == CallOutcome::Died {
             self.report_crash(&request, fx);
         }
         let refusal = match outcome {
@@ -171,7 +168,7 @@
                 // is not known whether the call ran.
                 return self.settle(id, KeyOutcome::Unknown, fx);
             }
-            CallOutcome::ConnectionLost | CallOutcome::BackendCrashed => {
+            CallOutcome::Lost | CallOutcome::Died => {
                 Refusal::after_dispatch(Reason::BackendLost, Ran::Unknown)
             }
             CallOutcome::Failed => Refusal::after_dispatch(Reason::BackendFailed, Ran::Ran),
--- a/crates/jaypin_core/tests/claim_order.rs
+++ b/crates/jaypin_core/tests/claim_order.rs
@@ -48,8 +48,8 @@
     let any_index = 0..64_usize;
     let outcome = prop_oneof![
         Just(CallOutcome::Complete),
-        Just(CallOutcome::ConnectionLost),
-        Just(CallOutcome::BackendCrashed),
+        Just(CallOutcome::Lost),
+        Just(CallOutcome::Died),
         Just(CallOutcome::Failed),
     ];
     let step = prop_oneof![
--- a/crates/jaypin_wire/src/explain/mod.rs
+++ b/crates/jaypin_wire/src/explain/mod.rs
@@ -243,8 +243,8 @@
 fn outcome_name(outcome: CallOutcome) -> &'static str {
     match outcome {
         CallOutcome::Complete => "complete",
-        CallOutcome::ConnectionLost => "lost",
-        CallOutcome::BackendCrashed => "died",
+        CallOutcome::Lost => "lost",
+        CallOutcome::Died => "died",
         CallOutcome::Failed => "failed",
         CallOutcome::Cancelled => "cancelled",
     }
