--- a/crates/jaypin_router/src/router/updates.rs
+++ b/crates/jaypin_router/src/router/updates.rs
@@ -18,8 +18,8 @@
 /// Fraction of the revocation limit within which the configuration must be proved. The remainder
 /// covers watches that lag by up to a second.
 const PROOF_FRACTION: f64 = 0.8;
-/// Part of its cell that a host assumes to be, for its share of quotas, until it has read the
-/// list of registered hosts. Cells have at most about thirty hosts on average.
+/// Share of the quotas of its cell that a host grants until it has read the list of registered
+/// hosts. Cells have at most about thirty hosts on average.
 const INITIAL_FLEET_FRACTION: f64 = 1.0 / 32.0;
 /// Fraction of the fleet's resend budget that hosts use. Hosts count their resends separately,
 /// and must not exceed the budget together while the number of hosts changes.
